--- a/benchmarks/_pump.py
+++ b/benchmarks/_pump.py
@@ -16,17 +16,17 @@
 
 from umberhitch.adapters.zmq_link import ZmqLink, make_context
 from umberhitch.wire import (
-    Beat,
-    Billed,
+    AttemptAccepted,
     Chunk,
+    ConfigRequest,
     EndpointState,
     Finished,
+    Heartbeat,
     Hello,
     Message,
-    NeedConfig,
     Start,
-    Taken,
     Usage,
+    UsageConfirmation,
 )
 
 reactor: Any = _reactor
@@ -49,7 +49,7 @@
         link.listen(self.receive)
 
     def _beat(self, router: str) -> None:
-        beat = Beat(self._name, 1, "a", ["m@1"], EndpointState.READY, 0, 0, 0, 64)
+        beat = Heartbeat(self._name, 1, "a", ["m@1"], EndpointState.READY, 0, 0, 0, 64)
         self._link.send(router, beat)
         reactor.callLater(max(self._beat_s, self._routers[router]), self._beat, router)
 
@@ -57,15 +57,15 @@
         """Answer what a router sent."""
         for message in messages:
             match message:
-                case Hello(beat_s=beat_s):
+                case Hello(heartbeat_interval_s=beat_s):
                     is_new = sender not in self._routers
                     self._routers[sender] = beat_s
                     if is_new:
                         self._beat(sender)
                 case Start():
-                    self._link.send(sender, Taken(message.attempt))
+                    self._link.send(sender, AttemptAccepted(message.attempt))
                     reactor.callLater(self._token_s, self._token, sender, message, 0)
-                case Billed() | NeedConfig():
+                case UsageConfirmation() | ConfigRequest():
                     pass
 
     def _token(self, sender: str, start: Start, sent: int) -> None:
--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -12,7 +12,7 @@
 from umberhitch.fakes import Reply
 from umberhitch.tasks.direct.exchange import HELD
 from umberhitch.testing import CrashingFleet, DirectAsk
-from umberhitch.wire import CrashNews, Message
+from umberhitch.wire import CrashUpdate, Message
 
 __all__ = ["run"]
 
@@ -38,7 +38,7 @@
     news = [0]
 
     def count(sender: str, receiver: str, message: Message) -> bool:
-        is_news = isinstance(message, CrashNews)
+        is_news = isinstance(message, CrashUpdate)
         news[0] += is_news
         return is_news and not is_told
 
--- a/benchmarks/decide.py
+++ b/benchmarks/decide.py
@@ -10,7 +10,7 @@
 from umberhitch.ports import Host, HostRole
 from umberhitch.tasks.fleet import Fleet
 from umberhitch.testing import make_change, make_version
-from umberhitch.wire import Beat, EndpointState
+from umberhitch.wire import EndpointState, Heartbeat
 
 __all__ = ["run"]
 
@@ -37,7 +37,9 @@
     for index, host in enumerate(hosts):
         target = f"m@{index % VERSIONS}"
         running = rng.randrange(8)
-        fleet.hear(Beat(host.name, 1, host.zone, [target], EndpointState.READY, 0, running, 0, 8))
+        fleet.hear(
+            Heartbeat(host.name, 1, host.zone, [target], EndpointState.READY, 0, running, 0, 8)
+        )
     return fleet
 
 
--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -12,18 +12,18 @@
 from twisted.internet.task import Clock
 
 from umberhitch.core.direct import (
-    Ask,
+    AnswerValueLimits,
+    CallerRequest,
     Directory,
     EndpointEntry,
     EndpointState,
+    EngineCall,
     EnginePrice,
-    EngineWork,
-    EventCutter,
+    EventSplitter,
     PromptPart,
     RouteTable,
     Service,
-    WorthLimits,
-    make_stake,
+    make_answer_value,
 )
 from umberhitch.core.direct import Placement as Placing
 from umberhitch.testing import make_direct_document, make_route
@@ -39,7 +39,7 @@
 REPEATS = 5
 EVENTS = 20_000
 MODELS = ("small", "large")
-WORTH = WorthLimits()
+WORTH = AnswerValueLimits()
 PRICE = EnginePrice(1.0, 2.0, 1.0, 0.3)
 
 
@@ -62,19 +62,21 @@
     service = Service("svc", slots=64, cache_tokens=400_000)
     rng, clock = Random(3), Clock()
     for bucket in range(BUCKETS_MADE):
-        directory.home("svc", f"s{bucket}")
+        directory.affinity_endpoint("svc", f"s{bucket}")
     best = float("inf")
     for _ in range(REPEATS):
         began_s = time.perf_counter()
         for index in range(ROUNDS):
             route = table.find("models.example", f"/r{index % ROUTES}/x")
             assert route is not None
-            table.customer("key-1")
+            table.find_customer("key-1")
             parts = (PromptPart(f"s{rng.randrange(500)}", 4000), PromptPart("own", 500))
-            ask = Ask("a", b"POST", b"/", "h", "/", [], None, 9.0, True, parts, 100)
+            ask = CallerRequest("a", b"POST", b"/", "h", "/", [], None, 9.0, True, parts, 100)
             ready = directory.ready("svc", clock.seconds(), rng)
-            home = directory.home("svc", parts[0].part_id)
-            work = EngineWork(ask, "small", MODELS, make_stake(route, ask, WORTH), PRICE, home)
+            home = directory.affinity_endpoint("svc", parts[0].part_id)
+            work = EngineCall(
+                ask, "small", MODELS, make_answer_value(route, ask, WORTH), PRICE, home
+            )
             endpoint = placement.choose_engine(ready, work, clock.seconds()).endpoint
             placed = placement.place(endpoint, ask, "small", MODELS, service, clock.seconds())
             placement.release(placed, False)
@@ -86,7 +88,7 @@
     """Return the best time of several, in microseconds an event that is cut and counted."""
     best = float("inf")
     for _ in range(REPEATS):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         began_s = time.perf_counter()
         for index in range(EVENTS):
             cutter.feed(b"id: %d\ndata: xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\n\n" % index)
--- a/benchmarks/herd.py
+++ b/benchmarks/herd.py
@@ -12,7 +12,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from umberhitch.core.direct import Ask, Endpoint, Placed, Placement, ReportedLoad
+from umberhitch.core.direct import CallerRequest, Endpoint, PlacedCall, Placement, ReportedLoad
 from umberhitch.testing import make_endpoint_entry
 
 __all__ = ["run"]
@@ -126,11 +126,11 @@
         if self._now_s >= END_S:
             return
         self.calls += 1
-        ask = Ask(f"a{self.calls}", b"POST", b"/", "h", "/", [], None, 10.0)
+        ask = CallerRequest(f"a{self.calls}", b"POST", b"/", "h", "/", [], None, 10.0)
         self._send(ask, self._rng.randrange(len(self._placements)), self._now_s, set())
         self._later(self._rng.expovariate(a_second), lambda: self._arrive(a_second))
 
-    def _send(self, ask: Ask, router: int, since_s: float, tried: set[str]) -> None:
+    def _send(self, ask: CallerRequest, router: int, since_s: float, tried: set[str]) -> None:
         fresh = [each for each in self._endpoints if each.lifetime not in tried]
         if len(tried) == TRIES or not fresh:
             return
@@ -144,7 +144,7 @@
         self._later(WAY_S, lambda: self._reach(ask, router, since_s, tried, placed))
 
     def _reach(
-        self, ask: Ask, router: int, since_s: float, tried: set[str], placed: Placed
+        self, ask: CallerRequest, router: int, since_s: float, tried: set[str], placed: PlacedCall
     ) -> None:
         name = placed.lifetime
         if name in self._refusing:
@@ -158,26 +158,26 @@
             self._refused(ask, router, since_s, tried, placed)
 
     def _refused(
-        self, ask: Ask, router: int, since_s: float, tried: set[str], placed: Placed
+        self, ask: CallerRequest, router: int, since_s: float, tried: set[str], placed: PlacedCall
     ) -> None:
-        self._placements[router].refused(placed, self._now_s)
+        self._placements[router].note_refused(placed, self._now_s)
         self._placements[router].release(placed, None)
         self._send(ask, router, since_s, tried)
 
-    def _start(self, router: int, since_s: float, placed: Placed) -> None:
+    def _start(self, router: int, since_s: float, placed: PlacedCall) -> None:
         self._running[placed.lifetime] += 1
         self.waits_s.append(self._now_s - since_s)
         self._later(WORK_S, lambda: self._end(router, placed))
 
-    def _end(self, router: int, placed: Placed) -> None:
+    def _end(self, router: int, placed: PlacedCall) -> None:
         name = placed.lifetime
         self._running[name] -= 1
         self._report(router, name)
-        self._placements[router].began(placed, self._now_s)
+        self._placements[router].note_reply_started(placed, self._now_s)
         self._placements[router].release(placed, False)
         if self._queued[name]:
             self._queued[name].pop(0)()
 
     def _report(self, router: int, name: str) -> None:
         load = ReportedLoad(self._running[name], len(self._queued[name]), SLOTS)
-        self._placements[router].report(name, load, self._now_s)
+        self._placements[router].update_reported_load(name, load, self._now_s)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -55,7 +55,7 @@
     times = [at_s for at_s in sent_s if at_s >= NAMED_S + CONTACT_S]
     worst = max((bisect_left(times, t + RULES.span_s) - n for n, t in enumerate(times)), default=0)
     used = len(times) / (rate * (END_S - NAMED_S - CONTACT_S))
-    bound = RULES.bound(rate).most
+    bound = RULES.bound(rate).max_requests
     return {
         "way": way,
         "routers": routers,
@@ -122,8 +122,8 @@
     bound, shares = RULES.bound(rate), []
     for number, names in enumerate(_lists(routers, rng)):
         share = FleetShare(f"r{number}")
-        share.take_routers(names)
-        share.look(True, 0.0)
+        share.set_routers(names)
+        share.update_registration(True, 0.0)
         shares.append(share)
 
     def may_send(router: int, now_s: float) -> bool:
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -84,8 +84,8 @@
     total, bound = 0, ColdLimits().bound(RATE)
     for name, known in zip(names, lists, strict=True):
         share = FleetShare(name)
-        share.take_routers(known)
-        share.look(True, 0.0)
+        share.set_routers(known)
+        share.update_registration(True, 0.0)
         while share.wait_s(endpoint, bound, 0.0) == 0.0:
             share.note_sent(endpoint, 0.0)
             total += 1
--- a/umberhitch/adapters/gateway_pages.py
+++ b/umberhitch/adapters/gateway_pages.py
@@ -70,9 +70,9 @@
             {
                 "key": key,
                 "endpoints": [each.lifetime for each in record.crashes(key)],
-                "places": sorted({each.place for each in record.crashes(key)}),
+                "places": sorted({each.service_version for each in record.crashes(key)}),
                 "last_crash_age_s": round(
-                    now_s - max(each.ended_s for each in record.crashes(key)), 3
+                    now_s - max(each.crashed_s for each in record.crashes(key)), 3
                 ),
                 "probes": hold.probes,
                 "next_probe_s": round(max(0.0, hold.until_s - now_s), 3),
@@ -130,7 +130,7 @@
             "configuration_age_s": None if age_s == float("inf") else round(age_s, 3),
             "endpoints": len(gateway.directory),
             "running": len(gateway.running),
-            "routers": gateway.budget.routers or 1,
+            "routers": gateway.budget.router_count or 1,
             "outcomes": gateway.counters.outcomes,
             "refused": gateway.answers.refused,
             "held": sum(1 for _ in gateway.crashes.record.held(gateway.clock.seconds())),
@@ -148,7 +148,7 @@
             zone: {
                 "age_s": round(now_s - since_s, 3),
                 "running": sum(
-                    gateway.placement.all_running(each.lifetime)
+                    gateway.placement.all_running_calls(each.lifetime)
                     for each in gateway.directory.of_zone(zone)
                 ),
             }
@@ -167,7 +167,7 @@
             f"umberhitch_calls_total {count.calls}",
             f"umberhitch_running {len(gateway.running)}",
             f"umberhitch_endpoints {len(gateway.directory)}",
-            f"umberhitch_routers {gateway.budget.routers or 1}",
+            f"umberhitch_routers {gateway.budget.router_count or 1}",
             f"umberhitch_endpoint_crashes_total {gateway.crashes.watch.crashes}",
             f"umberhitch_requests_suspect {len(gateway.crashes.record)}",
             f"umberhitch_requests_held {self._status()['held']}",
--- a/umberhitch/adapters/h11_callers.py
+++ b/umberhitch/adapters/h11_callers.py
@@ -85,7 +85,7 @@
         if connection is not None:
             connection.abort()
 
-    def on_pressure(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
+    def set_flow_control(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
         if self._connection is None:
             return
         self._pause, self._resume = pause, resume
--- a/umberhitch/adapters/h11_endpoints.py
+++ b/umberhitch/adapters/h11_endpoints.py
@@ -24,7 +24,7 @@
     CallFailure,
     EndpointCall,
     HeaderList,
-    Listening,
+    ListenerStatus,
 )
 
 __all__ = ["EndpointClient", "EndpointClientLimits"]
@@ -295,19 +295,19 @@
     noisy = False
 
     def __init__(
-        self, client: "EndpointClient", address: str, on_found: Callable[[Listening], None]
+        self, client: "EndpointClient", address: str, on_found: Callable[[ListenerStatus], None]
     ) -> None:
         self._client = client
         self._address = address
         self._on_found = on_found
 
     def buildProtocol(self, addr: Any) -> Protocol:
-        self._on_found(Listening.YES)
+        self._on_found(ListenerStatus.YES)
         return _Kept(self._client, self._address)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         is_refused = reason.check(ConnectionRefusedError) is not None
-        self._on_found(Listening.NO if is_refused else Listening.UNKNOWN)
+        self._on_found(ListenerStatus.NO if is_refused else ListenerStatus.UNKNOWN)
 
 
 class _Kept(_Connection):
@@ -347,14 +347,14 @@
     def send(self, address: str, call: EndpointCall, events: CallEvents) -> _Call:
         """Send a call to ``IP:PORT``; events come later, never from within."""
         running = _Call(call, events)
-        kept = self._take(address, call.is_once)
+        kept = self._take(address, call.is_non_repeatable)
         if kept is not None:
             kept.start(running)
             return running
         self._connect(address, _Dial(self, address, running))
         return running
 
-    def check(self, address: str, on_found: Callable[[Listening], None]) -> None:
+    def check(self, address: str, on_found: Callable[[ListenerStatus], None]) -> None:
         """Find out whether a process listens at ``IP:PORT``; the answer comes later."""
         self._connect(address, _Check(self, address, on_found))
 
--- a/umberhitch/adapters/stored_holds.py
+++ b/umberhitch/adapters/stored_holds.py
@@ -54,5 +54,5 @@
         """Let a hold stand, or none."""
         value = b""
         if hold is not None:
-            value = json.encode(_Document(hold.place, list(hold.lifetimes), hold.probes))
+            value = json.encode(_Document(hold.service_version, list(hold.lifetimes), hold.probes))
         await append_row(self._store, TOPIC, key, value)
--- a/umberhitch/adapters/tests/test_h11_endpoints.py
+++ b/umberhitch/adapters/tests/test_h11_endpoints.py
@@ -10,7 +10,7 @@
 from umberhitch.adapters.h11_endpoints import EndpointClient, EndpointClientLimits
 from umberhitch.adapters.h11_fetch import NoReplyError, fetch
 from umberhitch.core.direct import ReplyHead
-from umberhitch.ports.direct import CallFailure, EndpointCall, HeaderList, Listening
+from umberhitch.ports.direct import CallFailure, EndpointCall, HeaderList, ListenerStatus
 from umberhitch.testing import dial
 
 ADDRESS = "10.0.0.1:80"
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize(
     ("error", "expected"),
-    [(ConnectionRefusedError(), Listening.NO), (TimeoutError(), Listening.UNKNOWN)],
+    [(ConnectionRefusedError(), ListenerStatus.NO), (TimeoutError(), ListenerStatus.UNKNOWN)],
 )
 def test_a_check_tells_an_ended_process_from_one_that_cannot_be_reached(
     reactor, client, error, expected
@@ -109,7 +109,7 @@
     found = []
     client.check(ADDRESS, found.append)
     dial(reactor)
-    assert found == [Listening.YES]
+    assert found == [ListenerStatus.YES]
     client.send(ADDRESS, make_call(), Events())
     assert len(reactor.tcpClients) == 1
 
--- a/umberhitch/adapters/zmq_link.py
+++ b/umberhitch/adapters/zmq_link.py
@@ -227,14 +227,14 @@
         except zmq.ZMQError as exc:
             log.warning("disconnect failed", extra={"peer": peer, "error": str(exc)})
 
-    def send(self, peer: str, message: Message, is_patient: bool = False) -> None:
+    def send(self, peer: str, message: Message, is_deferrable: bool = False) -> None:
         """Queue a message; messages to one peer share frames.
 
         A patient message waits up to ``flush_s`` for others; any other goes at the end of the turn
         and takes along what waits for the same peer.
         """
         self._out.setdefault(peer, []).append(message)
-        if is_patient and self._flush_s > 0:
+        if is_deferrable and self._flush_s > 0:
             if not self._is_patient_flush_due:
                 self._is_patient_flush_due = True
                 self._clock.callLater(self._flush_s, self._flush_patient)
--- a/umberhitch/core/direct/__init__.py
+++ b/umberhitch/core/direct/__init__.py
@@ -1,36 +1,52 @@
 """Decisions of the direct path, on which a router calls endpoints itself; no socket, no clock."""
 
-from umberhitch.core.direct._budget import BudgetLimits, RetryBudget
+from umberhitch.core.direct._advertised_limits import (
+    AdvertisedLimit,
+    AdvertisedLimits,
+    LimitChange,
+    LimitRules,
+)
+from umberhitch.core.direct._answer_value import AnswerValue, AnswerValueLimits, make_answer_value
+from umberhitch.core.direct._canary import Canary, CanaryLimits
 from umberhitch.core.direct._cascade import Cascade, CascadeLimits
-from umberhitch.core.direct._change import DocumentChange, apply_change, change_between
-from umberhitch.core.direct._closed import ClosedEndpoints, Leaving, Rest
+from umberhitch.core.direct._change import DocumentChange, apply_change, diff_documents
+from umberhitch.core.direct._closed import ClosedEndpoints, Draining, EndpointBackoff
 from umberhitch.core.direct._crash_record import Crash, CrashLimits, CrashRecord, Hold
 from umberhitch.core.direct._directory import Directory
 from umberhitch.core.direct._endpoint import Endpoint
 from umberhitch.core.direct._engine_time import EngineDemand, EnginePrice, EngineTimeLimits
-from umberhitch.core.direct._events import EventCutter
-from umberhitch.core.direct._evidence import AnswerVerdict, Counts, EvidenceBar
+from umberhitch.core.direct._events import EventSplitter
+from umberhitch.core.direct._evidence import AnswerCounts, AnswerVerdict, EvidenceThreshold
 from umberhitch.core.direct._fleet_share import ColdLimits, FleetBound, FleetShare
 from umberhitch.core.direct._header_values import (
     Backoff,
-    read_backoff,
-    read_flag,
-    read_load,
-    read_numbers,
-    read_prompt,
+    parse_backoff,
+    parse_flag,
+    parse_ints,
+    parse_load,
+    parse_prompt,
 )
 from umberhitch.core.direct._keys import key_digest
-from umberhitch.core.direct._named_limits import LimitChange, LimitRules, NamedLimit, NamedLimits
-from umberhitch.core.direct._pace import EventPace, Paces, PacesLimits
-from umberhitch.core.direct._placement import EngineWork, Offer, Placed, Placement, PlacementLimits
-from umberhitch.core.direct._rates import Rate, read_rate
-from umberhitch.core.direct._readings import NO_READING, Readings
+from umberhitch.core.direct._placement import (
+    Candidate,
+    EngineCall,
+    PlacedCall,
+    Placement,
+    PlacementLimits,
+)
+from umberhitch.core.direct._prefills import NO_PREFILL, ActivePrefills
+from umberhitch.core.direct._rates import Rate, parse_rate
 from umberhitch.core.direct._request_key import request_key
+from umberhitch.core.direct._retry_budget import RetryBudget, RetryBudgetLimits
 from umberhitch.core.direct._routes import RouteTable
 from umberhitch.core.direct._signals import HeadSignals, ReportedLoad, SignalKind
-from umberhitch.core.direct._trial import Trial, TrialLimits
+from umberhitch.core.direct._token_latency import (
+    InterTokenLatency,
+    TokenLatencies,
+    TokenLatencyLimits,
+)
 from umberhitch.core.direct._types import (
-    Ask,
+    CallerRequest,
     Customer,
     Document,
     EndpointEntry,
@@ -45,19 +61,25 @@
     Service,
     ZoneOut,
 )
-from umberhitch.core.direct._worth import Stake, WorthLimits, make_stake
 
 __all__ = [
-    "NO_READING",
+    "NO_PREFILL",
+    "ActivePrefills",
+    "AdvertisedLimit",
+    "AdvertisedLimits",
+    "AnswerCounts",
+    "AnswerValue",
+    "AnswerValueLimits",
     "AnswerVerdict",
-    "Ask",
     "Backoff",
-    "BudgetLimits",
+    "CallerRequest",
+    "Canary",
+    "CanaryLimits",
+    "Candidate",
     "Cascade",
     "CascadeLimits",
     "ClosedEndpoints",
     "ColdLimits",
-    "Counts",
     "Crash",
     "CrashLimits",
     "CrashRecord",
@@ -65,39 +87,34 @@
     "Directory",
     "Document",
     "DocumentChange",
+    "Draining",
     "Endpoint",
+    "EndpointBackoff",
     "EndpointEntry",
     "EndpointState",
+    "EngineCall",
     "EngineDemand",
     "EnginePrice",
     "EngineTimeLimits",
-    "EngineWork",
-    "EventCutter",
-    "EventPace",
-    "EvidenceBar",
+    "EventSplitter",
+    "EvidenceThreshold",
     "FleetBound",
     "FleetShare",
     "HeadSignals",
     "Hold",
     "IntakeLimits",
-    "Leaving",
+    "InterTokenLatency",
     "LimitChange",
     "LimitRules",
-    "NamedLimit",
-    "NamedLimits",
-    "Offer",
-    "Paces",
-    "PacesLimits",
-    "Placed",
+    "PlacedCall",
     "Placement",
     "PlacementLimits",
     "PromptPart",
     "Rate",
-    "Readings",
     "ReplyHead",
     "ReportedLoad",
-    "Rest",
     "RetryBudget",
+    "RetryBudgetLimits",
     "RolloutOrder",
     "RolloutState",
     "Route",
@@ -105,20 +122,18 @@
     "RouteTable",
     "Service",
     "SignalKind",
-    "Stake",
-    "Trial",
-    "TrialLimits",
-    "WorthLimits",
+    "TokenLatencies",
+    "TokenLatencyLimits",
     "ZoneOut",
     "apply_change",
-    "change_between",
+    "diff_documents",
     "key_digest",
-    "make_stake",
-    "read_backoff",
-    "read_flag",
-    "read_load",
-    "read_numbers",
-    "read_prompt",
-    "read_rate",
+    "make_answer_value",
+    "parse_backoff",
+    "parse_flag",
+    "parse_ints",
+    "parse_load",
+    "parse_prompt",
+    "parse_rate",
     "request_key",
 ]
--- a/umberhitch/core/direct/_worth.py
+++ b/umberhitch/core/direct/_answer_value.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-from umberhitch.core.direct._types import Ask, Route
+from umberhitch.core.direct._types import CallerRequest, Route
 
-__all__ = ["Stake", "WorthLimits", "make_stake"]
+__all__ = ["AnswerValue", "AnswerValueLimits", "make_answer_value"]
 
-LEAST_SLOPE_S = 0.001
+MIN_SLOPE_S = 0.001
 """Least time between in time and late, where a route names no objective; seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class WorthLimits:
+class AnswerValueLimits:
     """What is not observable, and so is set.
 
     Attributes
@@ -29,14 +29,14 @@
         objective itself it is late for sure, since estimates of queues are low.
     """
 
-    token_worth: float = 0.35
-    rank_share: float = 0.5
+    value_per_kilotoken: float = 0.35
+    priority_factor: float = 0.5
     late_share: float = 0.2
-    soon: float = 0.4
+    on_time_share: float = 0.4
 
 
 @dataclass(frozen=True, slots=True)
-class Stake:
+class AnswerValue:
     """What one answer is worth; times in seconds.
 
     Attributes
@@ -50,30 +50,30 @@
         Expected first events up to ``soon_s`` are in time for sure, from ``objective_s`` late.
     """
 
-    worth: float
-    rank_share: float
+    value: float
+    priority_weight: float
     late_share: float
-    soon_s: float
+    on_time_s: float
     objective_s: float
 
-    def timely(self, first_event_s: float) -> float:
+    def value_fraction(self, first_event_s: float) -> float:
         """Return which share of its worth an answer with its first event then has."""
-        late = (first_event_s - self.soon_s) / self._slope_s
+        late = (first_event_s - self.on_time_s) / self._slope_s
         return 1.0 - min(1.0, max(0.0, late)) * (1.0 - self.late_share)
 
     @property
     def loss_per_s(self) -> float:
         """Worth that a second of delay costs, between in time and late."""
-        return self.worth * (1.0 - self.late_share) / self._slope_s
+        return self.value * (1.0 - self.late_share) / self._slope_s
 
     @property
     def _slope_s(self) -> float:
-        return max(LEAST_SLOPE_S, self.objective_s - self.soon_s)
+        return max(MIN_SLOPE_S, self.objective_s - self.on_time_s)
 
 
-def make_stake(route: Route, ask: Ask, limits: WorthLimits) -> Stake:
+def make_answer_value(route: Route, ask: CallerRequest, limits: AnswerValueLimits) -> AnswerValue:
     """Return what a request's answer is worth."""
-    worth = limits.token_worth * (ask.prompt_tokens + 10 * ask.output_tokens) / 1000
-    rank_share = limits.rank_share**route.priority
-    soon_s = limits.soon * route.objective_s
-    return Stake(worth * rank_share, rank_share, limits.late_share, soon_s, route.objective_s)
+    worth = limits.value_per_kilotoken * (ask.prompt_tokens + 10 * ask.output_tokens) / 1000
+    rank_share = limits.priority_factor**route.priority
+    soon_s = limits.on_time_share * route.objective_s
+    return AnswerValue(worth * rank_share, rank_share, limits.late_share, soon_s, route.objective_s)
--- a/umberhitch/core/direct/_trial.py
+++ b/umberhitch/core/direct/_canary.py
@@ -13,20 +13,20 @@
 from collections import OrderedDict
 from dataclasses import dataclass, replace
 
-from umberhitch.core.direct._evidence import AnswerVerdict, Counts, EvidenceBar
+from umberhitch.core.direct._evidence import AnswerCounts, AnswerVerdict, EvidenceThreshold
 from umberhitch.core.direct._types import RolloutOrder, RolloutState
 
-__all__ = ["Trial", "TrialLimits"]
+__all__ = ["Canary", "CanaryLimits"]
 
 MAX_SESSIONS = 20_000
-PROOF_ECHO = 0.08
+LOAD_TEST_TAIL = 0.08
 """Part of the time in which what began under the proof's load comes to its end."""
-BREAK_ECHO_S = 1.0
+BREAK_DEDUPLICATION_S = 1.0
 """An endpoint that is lost breaks off all its answers within such a time."""
 
 
 @dataclass(frozen=True, slots=True)
-class TrialLimits:
+class CanaryLimits:
     """How a roll-out goes.
 
     Attributes
@@ -55,7 +55,7 @@
         runs on the old one any more, and after which it is whatever runs there.
     late_done_part, late_last_part : float
         The same for one that did not.
-    failed, broken, slow : EvidenceBar
+    failed, broken, slow : EvidenceThreshold
         An endpoint that is lost breaks off answers though its version is good, and load makes them
         slow, all at once: so those have to be more than failures by the endpoint's own word.
     session_s : float
@@ -66,23 +66,25 @@
         the old version.
     """
 
-    first_share: float = 0.07
-    half: float = 0.505
-    proved: float = 0.62
+    canary_share: float = 0.07
+    load_test_start: float = 0.505
+    load_test_end: float = 0.62
     full_load: float = 0.75
-    first_all_part: float = 0.85
-    all_part: float = 0.95
+    min_full_shift: float = 0.85
+    max_full_shift: float = 0.95
     exposure_share: float = 0.15
     exposure_slack: float = 30.0
-    exposure_proof: float = 1.0
-    exposure_kept: float = 0.6
-    done_part: float = 0.8
-    last_part: float = 0.9
-    late_done_part: float = 0.94
-    late_last_part: float = 0.97
-    failed: EvidenceBar = EvidenceBar()
-    broken: EvidenceBar = EvidenceBar(least=6, rate=0.2, usual_rate=0.02)
-    slow: EvidenceBar = EvidenceBar(least=4, rate=0.3, usual_rate=0.1, deviations=6.0)
+    load_test_exposure_use: float = 1.0
+    exposure_use: float = 0.6
+    drained_completion: float = 0.8
+    forced_completion: float = 0.9
+    untested_drained_completion: float = 0.94
+    untested_forced_completion: float = 0.97
+    failed: EvidenceThreshold = EvidenceThreshold()
+    broken: EvidenceThreshold = EvidenceThreshold(min_count=6, rate=0.2, max_assumed_rate=0.02)
+    slow: EvidenceThreshold = EvidenceThreshold(
+        min_count=4, rate=0.3, max_assumed_rate=0.1, deviations=6.0
+    )
     session_s: float = 5.0
     settle_s: float = 1.0
 
@@ -98,7 +100,7 @@
     """Whether this router sent it there; what it only heard it does not tell on."""
 
 
-class Trial:
+class Canary:
     """One router's view of one roll-out.
 
     Parameters
@@ -106,63 +108,63 @@
     order : RolloutOrder
     started_s : float
         When this router took the order, or before that as far as a peer told.
-    limits : TrialLimits
+    limits : CanaryLimits
     """
 
-    def __init__(self, order: RolloutOrder, started_s: float, limits: TrialLimits) -> None:
+    def __init__(self, order: RolloutOrder, started_s: float, limits: CanaryLimits) -> None:
         self.order = order
         self.started_s = started_s
         self.limits = limits
         self.state = RolloutState.IN_PROGRESS
-        self.own: dict[tuple[bool, str], Counts] = {}
-        self.is_proved = False
+        self.own_counts: dict[tuple[bool, str], AnswerCounts] = {}
+        self.is_load_tested = False
         """Whether an endpoint of the new version was loaded fully."""
-        self.just_moved: list[str] = []
+        self.unreported_moved: list[str] = []
         """Sessions that other routers would send to the old version, and that they have not been
         told of yet."""
-        self.just_kept: list[str] = []
+        self.unreported_pinned: list[str] = []
         """The same of sessions on the old version that others would send to the new one."""
         self._bears_all = False
-        self._others: dict[str, dict[tuple[bool, str], Counts]] = {}
+        self._others: dict[str, dict[tuple[bool, str], AnswerCounts]] = {}
         self._broken_s: dict[str, float] = {}
         self._sessions: OrderedDict[str, _Pin] = OrderedDict()
 
-    def part(self, now_s: float) -> float:
+    def progress(self, now_s: float) -> float:
         """Return which part of the time has passed."""
         return (now_s - self.started_s) / max(0.001, self.order.duration_s)
 
-    def share(self, now_s: float, is_light: bool = False) -> float:
+    def traffic_share(self, now_s: float, is_light: bool = False) -> float:
         """Return the share of the work that the new version gets now."""
         match self.state:
             case RolloutState.ROLLED_BACK:
                 return 0.0
             case RolloutState.COMPLETED:
                 return 1.0
-        if self.bears_all(now_s) or (is_light and self.is_proving(now_s)):
+        if self.takes_all_traffic(now_s) or (is_light and self.is_load_testing(now_s)):
             return 1.0
         if now_s - self.started_s < self.limits.settle_s:
             return 0.0
-        return self.limits.first_share
+        return self.limits.canary_share
 
-    def bears_all(self, now_s: float) -> bool:
+    def takes_all_traffic(self, now_s: float) -> bool:
         """Whether all new work goes to the new version."""
-        limits, part = self.limits, self.part(now_s)
-        if self.is_proved:
-            return part >= limits.proved
-        if part < limits.first_all_part:
+        limits, part = self.limits, self.progress(now_s)
+        if self.is_load_tested:
+            return part >= limits.load_test_end
+        if part < limits.min_full_shift:
             return False
-        self._bears_all = self._bears_all or part >= limits.all_part or self._has_room(part)
+        self._bears_all = self._bears_all or part >= limits.max_full_shift or self._has_room(part)
         return self._bears_all
 
     def _has_room(self, part: float) -> bool:
         """Whether the bound covers all that will come from now to the end, and a fifth more."""
         limits = self.limits
-        new = self.pooled(True).answers
-        at_end = (new + self.pooled(False).answers) / part
-        room = limits.exposure_share * at_end + limits.exposure_kept * limits.exposure_slack - new
+        new = self.pooled_counts(True).answers
+        at_end = (new + self.pooled_counts(False).answers) / part
+        room = limits.exposure_share * at_end + limits.exposure_use * limits.exposure_slack - new
         return 1.2 * (1.0 - part) * at_end <= room
 
-    def is_within_bound(self, now_s: float, new_running: int, old_running: int) -> bool:
+    def is_within_exposure(self, now_s: float, new_running: int, old_running: int) -> bool:
         """Whether the new version may get one more request before all work moves.
 
         Parameters
@@ -171,30 +173,30 @@
         new_running, old_running : int
             Calls under way, which no answer tells of yet.
         """
-        if self.state is not RolloutState.IN_PROGRESS or self.bears_all(now_s):
+        if self.state is not RolloutState.IN_PROGRESS or self.takes_all_traffic(now_s):
             return True
         limits = self.limits
-        new = self.pooled(True).answers + new_running + 1
-        total = new + self.pooled(False).answers + old_running
-        kept = limits.exposure_proof if self.is_proving(now_s) else limits.exposure_kept
+        new = self.pooled_counts(True).answers + new_running + 1
+        total = new + self.pooled_counts(False).answers + old_running
+        kept = limits.load_test_exposure_use if self.is_load_testing(now_s) else limits.exposure_use
         return new <= kept * (limits.exposure_share * total + limits.exposure_slack)
 
-    def is_first_half(self, now_s: float) -> bool:
+    def pins_sessions(self, now_s: float) -> bool:
         """Whether sessions still stay where they are."""
-        return self.part(now_s) < self.limits.half
+        return self.progress(now_s) < self.limits.load_test_start
 
-    def is_proving(self, now_s: float) -> bool:
+    def is_load_testing(self, now_s: float) -> bool:
         """Whether one endpoint of the new version is loaded first."""
-        return not self.is_first_half(now_s) and self.part(now_s) < self.limits.proved
+        return not self.pins_sessions(now_s) and self.progress(now_s) < self.limits.load_test_end
 
-    def is_for_target(
+    def routes_to_target(
         self,
         session: str | None,
         draw: float,
         now_s: float,
         has_target: bool = True,
         is_light: bool = False,
-        is_within: bool = True,
+        is_within_exposure: bool = True,
     ) -> bool:
         """Whether a request goes to the new version.
 
@@ -208,13 +210,13 @@
             Whether an endpoint of the new version takes work.
         is_light : bool
             Whether the request reads little.
-        is_within : bool
+        is_within_exposure : bool
             Whether the new version may get more, see `is_within_bound`. The sessions of its share
             it gets always, so that they stay where they are.
         """
-        share = self.share(now_s, is_light)
-        if not is_within:
-            share = 0.0 if session is None else min(share, self.limits.first_share)
+        share = self.traffic_share(now_s, is_light)
+        if not is_within_exposure:
+            share = 0.0 if session is None else min(share, self.limits.canary_share)
         chosen = has_target and draw < share
         if session is None or self.state is not RolloutState.IN_PROGRESS:
             return chosen
@@ -222,31 +224,31 @@
         if known is not None and now_s - known.at_s <= self.limits.session_s:
             if known.is_target:
                 chosen = True  # never back
-            elif self.is_first_half(now_s):
+            elif self.pins_sessions(now_s):
                 chosen = False  # begun on the old version: stays for the first half
         was_target = known is not None and known.is_target
         if chosen and not was_target and self._is_told(draw, now_s):
-            self.just_moved.append(session)
+            self.unreported_moved.append(session)
         if not chosen and self._is_kept(draw, now_s):
-            self.just_kept.append(session)
+            self.unreported_pinned.append(session)
         self._sessions[session] = _Pin(chosen, now_s, draw, True)
         while len(self._sessions) > MAX_SESSIONS:
             self._sessions.popitem(last=False)
         return chosen
 
-    def ended(self, session: str, now_s: float) -> None:
+    def note_request_finished(self, session: str, now_s: float) -> None:
         """Note that a request of a session has ended: the session lasts from then."""
         pin = self._sessions.get(session)
         if pin is not None:
             self._sessions[session] = replace(pin, at_s=now_s)
 
-    def seen_before(self, session: str, at_s: float, draw: float) -> None:
+    def note_old_session(self, session: str, at_s: float, draw: float) -> None:
         """Note a session that is on the old version, here or at another router."""
         known = self._sessions.get(session)
         if known is None or (not known.is_target and known.at_s < at_s):
             self._sessions[session] = _Pin(False, at_s, draw)
 
-    def kept_back(self, now_s: float) -> list[str]:
+    def pinned_sessions(self, now_s: float) -> list[str]:
         """Return the sessions that another router would send to the new version, and must not.
 
         They are on the old version and began there before the roll-out, though their draw is within
@@ -264,9 +266,9 @@
 
         Only in the first half, in which sessions stay where they are.
         """
-        if self.state is not RolloutState.IN_PROGRESS or not self.is_first_half(now_s):
+        if self.state is not RolloutState.IN_PROGRESS or not self.pins_sessions(now_s):
             return False
-        return draw < self.limits.first_share
+        return draw < self.limits.canary_share
 
     def moved_sessions(self, now_s: float) -> list[str]:
         """Return the sessions that another router would send to the old version, and must not.
@@ -283,38 +285,38 @@
 
     def _is_told(self, draw: float, now_s: float) -> bool:
         """Whether others are told of a session that moved: by its draw they would not move it."""
-        if self.state is not RolloutState.IN_PROGRESS or draw < self.limits.first_share:
+        if self.state is not RolloutState.IN_PROGRESS or draw < self.limits.canary_share:
             return False
-        return not self.is_first_half(now_s) and not self.bears_all(now_s)
+        return not self.pins_sessions(now_s) and not self.takes_all_traffic(now_s)
 
-    def moved_before(self, session: str, at_s: float, draw: float) -> None:
+    def note_moved_session(self, session: str, at_s: float, draw: float) -> None:
         """Note a session that another router has sent to the new version."""
         known = self._sessions.get(session)
         if known is None or not known.is_target or known.at_s < at_s:
             self._sessions[session] = _Pin(True, at_s, draw)
 
-    def note(
+    def count_answer(
         self, is_target: bool, route: str, endpoint: str, verdict: AnswerVerdict, now_s: float
     ) -> None:
         """Count an answer that this router got.
 
-        What broke off on one endpoint within `BREAK_ECHO_S` counts once: it had one cause.
+        What broke off on one endpoint within `BREAK_DEDUPLICATION_S` counts once: it had one cause.
         """
         if verdict is AnswerVerdict.BROKEN:
             last_s = self._broken_s.get(endpoint, float("-inf"))
-            if now_s - last_s < BREAK_ECHO_S:
+            if now_s - last_s < BREAK_DEDUPLICATION_S:
                 return
             self._broken_s[endpoint] = now_s
-        self.own.setdefault((is_target, route), Counts()).note(endpoint, verdict)
+        self.own_counts.setdefault((is_target, route), AnswerCounts()).record(endpoint, verdict)
 
-    def take(self, router: str, counts: dict[tuple[bool, str], Counts]) -> None:
+    def set_router_counts(self, router: str, counts: dict[tuple[bool, str], AnswerCounts]) -> None:
         """Take what another incarnation of a router has counted since its start."""
         self._others[router] = counts
 
-    def pooled(self, is_target: bool, route: str | None = None) -> Counts:
+    def pooled_counts(self, is_target: bool, route: str | None = None) -> AnswerCounts:
         """Return what all routers have counted of the new or of the old version."""
-        total = Counts()
-        for source in (self.own, *self._others.values()):
+        total = AnswerCounts()
+        for source in (self.own_counts, *self._others.values()):
             for (of_target, name), counts in source.items():
                 if of_target == is_target and route in (None, name):
                     total.add(counts)
@@ -322,29 +324,29 @@
 
     def routes(self) -> set[str]:
         """Return the routes on which there are answers."""
-        return {name for source in (self.own, *self._others.values()) for _, name in source}
+        return {name for source in (self.own_counts, *self._others.values()) for _, name in source}
 
-    def is_under_proof(self, now_s: float) -> bool:
+    def is_affected_by_load_test(self, now_s: float) -> bool:
         """Whether answers may still be slow from the load of the proof."""
-        part = self.part(now_s)
-        return self.limits.half <= part < self.limits.proved + PROOF_ECHO
+        part = self.progress(now_s)
+        return self.limits.load_test_start <= part < self.limits.load_test_end + LOAD_TEST_TAIL
 
-    def is_bad(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the evidence is against the new version, over all or on one route."""
         if self._is_worse(None):
             return True
         return any(self._is_worse(route) for route in self.routes())
 
     def _is_worse(self, route: str | None) -> bool:
-        new, old = self.pooled(True, route), self.pooled(False, route)
+        new, old = self.pooled_counts(True, route), self.pooled_counts(False, route)
         limits, on = self.limits, len(new.endpoints)
         return (
-            limits.failed.is_over(new.failed, new.answers, old.failed, old.answers, on)
-            or limits.broken.is_over(new.broken, new.answers, old.broken, old.answers, on)
-            or limits.slow.is_over(new.slow, new.paced, old.slow, old.paced, on)
+            limits.failed.is_exceeded(new.failed, new.answers, old.failed, old.answers, on)
+            or limits.broken.is_exceeded(new.broken, new.answers, old.broken, old.answers, on)
+            or limits.slow.is_exceeded(new.slow, new.paced, old.slow, old.paced, on)
         )
 
-    def verdict(self, now_s: float, old_running: int) -> RolloutState:
+    def next_state(self, now_s: float, old_running: int) -> RolloutState:
         """Return the state that the roll-out should have now.
 
         Parameters
@@ -355,11 +357,15 @@
         """
         if self.state is not RolloutState.IN_PROGRESS:
             return self.state
-        if self.is_bad():
+        if self.is_failing():
             return RolloutState.ROLLED_BACK
-        limits, part = self.limits, self.part(now_s)
-        done_part = limits.done_part if self.is_proved else limits.late_done_part
-        last_part = limits.last_part if self.is_proved else limits.late_last_part
+        limits, part = self.limits, self.progress(now_s)
+        done_part = (
+            limits.drained_completion if self.is_load_tested else limits.untested_drained_completion
+        )
+        last_part = (
+            limits.forced_completion if self.is_load_tested else limits.untested_forced_completion
+        )
         if part >= done_part and (old_running == 0 or part >= last_part):
             return RolloutState.COMPLETED
         return RolloutState.IN_PROGRESS
--- a/umberhitch/core/direct/_cascade.py
+++ b/umberhitch/core/direct/_cascade.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from math import exp
 
-from umberhitch.core.direct._placement import Offer
-from umberhitch.core.direct._types import Ask, Route
-from umberhitch.core.direct._worth import Stake
+from umberhitch.core.direct._answer_value import AnswerValue
+from umberhitch.core.direct._placement import Candidate
+from umberhitch.core.direct._types import CallerRequest, Route
 
 __all__ = ["Cascade", "CascadeLimits"]
 
@@ -40,7 +40,7 @@
     def __init__(self, limits: CascadeLimits | None = None) -> None:
         self.limits = limits or CascadeLimits()
 
-    def first(self, route: Route, ask: Ask) -> str | None:
+    def first_model(self, route: Route, ask: CallerRequest) -> str | None:
         """Return the model to begin with, or None where the choice is not ours."""
         if not ask.picks_model or not route.models:
             return None
@@ -51,20 +51,20 @@
     def next_model(
         self,
         route: Route,
-        ask: Ask,
-        stake: Stake,
+        ask: CallerRequest,
+        stake: AnswerValue,
         model: str,
         confidence: int | None,
         prices: Mapping[str, float],
         waited_s: float,
-        offer: Offer,
+        offer: Candidate,
     ) -> str | None:
         """Return the model to ask instead, or None to keep the answer that has begun.
 
         Parameters
         ----------
         route : Route
-        ask : Ask
+        ask : CallerRequest
         model : str
             Which one declared the confidence.
         confidence : int or None
@@ -72,8 +72,8 @@
             By model, for 1,000 tokens generated; a token that is read costs a quarter.
         waited_s : float
             Time since the request came.
-        stake : Stake
-        offer : Offer
+        stake : AnswerValue
+        offer : Candidate
             Where the larger model would be asked, its wait and what that costs others.
         """
         largest = route.models[-1]
@@ -82,9 +82,9 @@
         limits = self.limits
         read, made = ask.prompt_tokens / 1000, ask.output_tokens / 1000
         good = 1.0 / (1.0 + exp(-(confidence - limits.middle) / limits.width))
-        kept = good * stake.worth * stake.timely(waited_s)
+        kept = good * stake.value * stake.value_fraction(waited_s)
         # What the small model still has to make is paid if it is kept, the large one's if not.
-        kept -= stake.rank_share * prices.get(model, limits.price) * made
-        other = stake.worth * stake.timely(waited_s + offer.wait_s) - offer.delay_cost
-        other -= stake.rank_share * prices.get(largest, limits.price) * (read / 4 + made)
+        kept -= stake.priority_weight * prices.get(model, limits.price) * made
+        other = stake.value * stake.value_fraction(waited_s + offer.wait_s) - offer.delay_cost
+        other -= stake.priority_weight * prices.get(largest, limits.price) * (read / 4 + made)
         return largest if other > kept else None
--- a/umberhitch/core/direct/_change.py
+++ b/umberhitch/core/direct/_change.py
@@ -4,9 +4,9 @@
 
 from umberhitch.core.direct._types import Customer, Document, IntakeLimits, Route, Service
 
-__all__ = ["DocumentChange", "apply_change", "change_between"]
+__all__ = ["DocumentChange", "apply_change", "diff_documents"]
 
-Place = tuple[str, str]
+RouteKey = tuple[str, str]
 """Host and prefix of a route: a document has one route at each."""
 
 
@@ -34,21 +34,21 @@
     base: int
     number: int
     routes: tuple[Route, ...]
-    routes_gone: tuple[Place, ...]
+    routes_gone: tuple[RouteKey, ...]
     services: dict[str, Service] | None
     customers: dict[str, Customer]
     keys_gone: tuple[str, ...]
     intake: IntakeLimits
 
 
-def _place(route: Route) -> Place:
+def _route_key(route: Route) -> RouteKey:
     return route.host.lower(), route.prefix
 
 
-def change_between(old: Document, new: Document) -> DocumentChange:
+def diff_documents(old: Document, new: Document) -> DocumentChange:
     """Return what makes ``new`` of ``old``."""
-    before = {_place(route): route for route in old.routes}
-    after = {_place(route): route for route in new.routes}
+    before = {_route_key(route): route for route in old.routes}
+    after = {_route_key(route): route for route in new.routes}
     return DocumentChange(
         old.number,
         new.number,
@@ -65,10 +65,10 @@
     """Return the document that a change makes, or None if it goes with another one."""
     if document.number != change.base:
         return None
-    routes = {_place(route): route for route in document.routes}
+    routes = {_route_key(route): route for route in document.routes}
     for place in change.routes_gone:
         routes.pop(place, None)
-    routes.update((_place(route), route) for route in change.routes)
+    routes.update((_route_key(route), route) for route in change.routes)
     customers = {**document.customers, **change.customers}
     for key in change.keys_gone:
         customers.pop(key, None)
--- a/umberhitch/core/direct/_closed.py
+++ b/umberhitch/core/direct/_closed.py
@@ -11,21 +11,21 @@
 
 from xxhash import xxh3_64_intdigest
 
-__all__ = ["ClosedEndpoints", "Leaving", "Rest"]
+__all__ = ["ClosedEndpoints", "Draining", "EndpointBackoff"]
 
-LEAVING_KEPT_S = 600.0
+DRAINING_KEPT_S = 600.0
 """Kept for so long after the registry has lost an endpoint: its entry may lapse and come back."""
-MOST_LEAVING = 4096
+MAX_DRAINING = 4096
 """Endpoints that leave are remembered up to so many, the newest: some 0.5 MB."""
-RETURN_EACH_S = 0.02
+RESUME_SPACING_S = 0.02
 """After a rest the routers return one after the other, one in so long on the average."""
-TRY_S = 0.6
+FIRST_CALL_TIMEOUT_S = 0.6
 """After a rest a router's first call goes alone, until its reply begins or so much later."""
 HASH_RANGE = 2.0**64
 
 
 @dataclass(slots=True)
-class Leaving:
+class Draining:
     """That an endpoint leaves.
 
     Attributes
@@ -38,13 +38,13 @@
         When its endpoint was last known.
     """
 
-    heard_s: float
+    received_s: float
     source: str
-    known_s: float
+    last_seen_s: float
 
 
 @dataclass(slots=True)
-class Rest:
+class EndpointBackoff:
     """That an endpoint wants nothing from this router for a while.
 
     Attributes
@@ -59,10 +59,10 @@
         When the first call after it was sent, which others wait for.
     """
 
-    heard_s: float
+    received_s: float
     until_s: float
-    opens_s: float
-    tried_s: float | None = None
+    resume_s: float
+    first_call_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -73,80 +73,84 @@
     ----------
     name : str
         Of this router.
-    leaving : dict of str to Leaving
-    resting : dict of str to Rest
+    leaving : dict of str to Draining
+    resting : dict of str to EndpointBackoff
     """
 
     name: str
-    leaving: dict[str, Leaving] = field(default_factory=dict)
-    resting: dict[str, Rest] = field(default_factory=dict)
+    draining: dict[str, Draining] = field(default_factory=dict)
+    backoffs: dict[str, EndpointBackoff] = field(default_factory=dict)
 
     def __bool__(self) -> bool:
         """Whether any endpoint may be closed."""
-        return bool(self.leaving or self.resting)
+        return bool(self.draining or self.backoffs)
 
-    def take_leaving(self, lifetime: str, heard_s: float, source: str, now_s: float) -> bool:
+    def apply_draining(self, lifetime: str, received_s: float, source: str, now_s: float) -> bool:
         """Take the word that an endpoint leaves; return whether it is new."""
-        if lifetime in self.leaving:
+        if lifetime in self.draining:
             return False
-        self.leaving[lifetime] = Leaving(heard_s, source, now_s)
-        if len(self.leaving) > MOST_LEAVING:
-            del self.leaving[next(iter(self.leaving))]
+        self.draining[lifetime] = Draining(received_s, source, now_s)
+        if len(self.draining) > MAX_DRAINING:
+            del self.draining[next(iter(self.draining))]
         return True
 
-    def take_rest(self, lifetime: str, rest_s: float, routers: int, now_s: float) -> bool:
+    def apply_backoff(self, lifetime: str, backoff_s: float, routers: int, now_s: float) -> bool:
         """Take the word that an endpoint wants nothing for so long; return whether it is new.
 
         Parameters
         ----------
         lifetime : str
-        rest_s : float
+        backoff_s : float
         routers : int
             How many there are, of which all may have been told so at the same time.
         now_s : float
         """
-        known = self.resting.get(lifetime)
-        if rest_s <= 0.0:
+        known = self.backoffs.get(lifetime)
+        if backoff_s <= 0.0:
             return False
         is_new = known is None or known.until_s <= now_s
-        until_s = now_s + rest_s
+        until_s = now_s + backoff_s
         if known is not None and known.until_s >= until_s:
-            known.heard_s = now_s
+            known.received_s = now_s
             return False
-        opens_s = until_s + self._place(lifetime) * RETURN_EACH_S * (routers - 1)
-        self.resting[lifetime] = Rest(now_s, until_s, opens_s)
+        opens_s = until_s + self._resume_fraction(lifetime) * RESUME_SPACING_S * (routers - 1)
+        self.backoffs[lifetime] = EndpointBackoff(now_s, until_s, opens_s)
         return is_new
 
-    def _place(self, lifetime: str) -> float:
+    def _resume_fraction(self, lifetime: str) -> float:
         """Return this router's place among those that return to an endpoint, from 0 to 1."""
         return xxh3_64_intdigest(f"{lifetime}|{self.name}".encode()) / HASH_RANGE
 
-    def answered(self, lifetime: str, now_s: float) -> bool:
+    def note_answer(self, lifetime: str, now_s: float) -> bool:
         """Take a reply that asks for no rest; return whether that ends the return from one."""
-        known = self.resting.get(lifetime)
-        if known is None or now_s < known.opens_s:
+        known = self.backoffs.get(lifetime)
+        if known is None or now_s < known.resume_s:
             return False
-        del self.resting[lifetime]
+        del self.backoffs[lifetime]
         return True
 
     def note_sent(self, lifetime: str, now_s: float) -> None:
         """Note that a call is sent."""
-        known = self.resting.get(lifetime)
+        known = self.backoffs.get(lifetime)
         if known is not None:
-            known.tried_s = now_s
+            known.first_call_s = now_s
 
-    def takes(self, lifetime: str, now_s: float) -> bool:
+    def accepts(self, lifetime: str, now_s: float) -> bool:
         """Whether one more call may be sent."""
         return self.wait_s(lifetime, now_s) == 0.0
 
     def wait_s(self, lifetime: str, now_s: float) -> float:
         """Return the time until one more call may be sent; infinite where it leaves."""
-        if lifetime in self.leaving:
+        if lifetime in self.draining:
             return inf
-        known = self.resting.get(lifetime)
+        known = self.backoffs.get(lifetime)
         if known is None:
             return 0.0
-        free_s = known.opens_s if known.tried_s is None else known.tried_s + TRY_S
+        free_s = (
+            known.resume_s
+            if known.first_call_s is None
+            else known.first_call_s + FIRST_CALL_TIMEOUT_S
+        )
         return max(0.0, free_s - now_s)
 
     def forget(self, known: Iterable[str], now_s: float) -> None:
@@ -154,11 +158,11 @@
         if not self:
             return
         keep = set(known)
-        for lifetime, word in list(self.leaving.items()):
+        for lifetime, word in list(self.draining.items()):
             if lifetime in keep:
-                word.known_s = now_s
-            elif now_s > word.known_s + LEAVING_KEPT_S:
-                del self.leaving[lifetime]
-        for lifetime, rest in list(self.resting.items()):
+                word.last_seen_s = now_s
+            elif now_s > word.last_seen_s + DRAINING_KEPT_S:
+                del self.draining[lifetime]
+        for lifetime, rest in list(self.backoffs.items()):
             if lifetime not in keep and now_s >= rest.until_s:
-                del self.resting[lifetime]
+                del self.backoffs[lifetime]
--- a/umberhitch/core/direct/_crash_record.py
+++ b/umberhitch/core/direct/_crash_record.py
@@ -55,13 +55,13 @@
     crashes: int = 3
     probe_gaps_s: tuple[float, ...] = (1.0, 10.0)
     hold_s: float = 600.0
-    longest_hold_s: float = 21_600.0
-    outlived: float = 3.0
-    outlived_s: float = 1.0
+    max_hold_s: float = 21_600.0
+    survival_factor: float = 3.0
+    min_survival_s: float = 1.0
     forget_s: float = 3_600.0
-    kept_requests: int = 2_048
-    kept_of_customer: int = 256
-    kept_ends: int = 4_096
+    max_requests: int = 2_048
+    max_requests_per_customer: int = 256
+    max_run_ends: int = 4_096
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,9 +79,9 @@
     """
 
     lifetime: str
-    place: str
-    began_s: float
-    ended_s: float
+    service_version: str
+    started_s: float
+    crashed_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,15 +97,15 @@
 class _Suspect:
     crashes: dict[str, Crash] = field(default_factory=dict)
     probes: int = 0
-    probe_s: float = float("-inf")
+    last_probe_s: float = float("-inf")
     """When the last probe was let through."""
-    probe_until_s: float = float("-inf")
+    probe_deadline_s: float = float("-inf")
     """While it is under way, when it must have ended."""
-    probed: set[str] = field(default_factory=set)
+    probed_versions: set[str] = field(default_factory=set)
     """Places where probes were let through."""
 
-    def last_s(self) -> float:
-        return max((each.ended_s for each in self.crashes.values()), default=self.probe_s)
+    def last_crash_s(self) -> float:
+        return max((each.crashed_s for each in self.crashes.values()), default=self.last_probe_s)
 
 
 class CrashRecord:
@@ -120,7 +120,7 @@
         self.limits = limits or CrashLimits()
         self._suspects: dict[str, _Suspect] = {}
         self._by_customer: dict[str, dict[str, None]] = {}
-        self._ends: OrderedDict[str, float] = OrderedDict()
+        self._run_ends: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -137,56 +137,60 @@
         if crash.lifetime in suspect.crashes:
             return False
         suspect.crashes[crash.lifetime] = crash
-        suspect.probe_until_s = float("-inf")
+        suspect.probe_deadline_s = float("-inf")
         return True
 
     def is_refuted(self, key: str, crash: Crash) -> bool:
         """Whether a run of the request has ended since this one began, its endpoint alive."""
-        ended_s = self._ends.get(key)
-        return ended_s is not None and crash.began_s <= ended_s
+        ended_s = self._run_ends.get(key)
+        return ended_s is not None and crash.started_s <= ended_s
 
-    def note_end(self, key: str, at_s: float) -> bool:
+    def note_run_end(self, key: str, at_s: float) -> bool:
         """Take note that a run ended with its endpoint alive; return whether that frees it."""
-        at_s = max(at_s, self._ends.pop(key, at_s))
-        self._ends[key] = at_s
-        if len(self._ends) > self.limits.kept_ends:
-            self._ends.popitem(last=False)
+        at_s = max(at_s, self._run_ends.pop(key, at_s))
+        self._run_ends[key] = at_s
+        if len(self._run_ends) > self.limits.max_run_ends:
+            self._run_ends.popitem(last=False)
         suspect = self._suspects.get(key)
         if suspect is None:
             return False
-        kept = {name: each for name, each in suspect.crashes.items() if each.began_s > at_s}
+        kept = {name: each for name, each in suspect.crashes.items() if each.started_s > at_s}
         is_freed = len(kept) < len(suspect.crashes)
         suspect.crashes = kept
         if not kept:
             self._drop(key)
         return is_freed
 
-    def outlived_s(self, key: str) -> float:
+    def survival_s(self, key: str) -> float:
         """Return how long a run of a request must go on after its first answer to free it."""
-        longest_s = max((each.ended_s - each.began_s for each in self.crashes(key)), default=0.0)
-        return max(self.limits.outlived_s, self.limits.outlived * longest_s)
+        longest_s = max(
+            (each.crashed_s - each.started_s for each in self.crashes(key)), default=0.0
+        )
+        return max(self.limits.min_survival_s, self.limits.survival_factor * longest_s)
 
-    def ended_s(self, key: str) -> float | None:
+    def last_run_end_s(self, key: str) -> float | None:
         """Return when a run of the request ended last with its endpoint alive, if that is known."""
-        return self._ends.get(key)
+        return self._run_ends.get(key)
 
-    def note_probe(self, key: str, place: str, probes: int, at_s: float, until_s: float) -> bool:
+    def note_probe(
+        self, key: str, service_version: str, probes: int, at_s: float, until_s: float
+    ) -> bool:
         """Take note that a probe was let through, the ``probes``-th; return whether it is new."""
         suspect = self._suspects.get(key)
         if suspect is None or probes <= suspect.probes:
             return False
         suspect.probes = probes
-        suspect.probe_s = max(suspect.probe_s, at_s)
-        suspect.probe_until_s = until_s
-        suspect.probed.add(place)
+        suspect.last_probe_s = max(suspect.last_probe_s, at_s)
+        suspect.probe_deadline_s = until_s
+        suspect.probed_versions.add(service_version)
         return True
 
-    def note_probe_over(self, key: str) -> bool:
+    def note_probe_end(self, key: str) -> bool:
         """Take note that the last probe has ended and shows nothing."""
         suspect = self._suspects.get(key)
-        if suspect is None or suspect.probe_until_s == float("-inf"):
+        if suspect is None or suspect.probe_deadline_s == float("-inf"):
             return False
-        suspect.probe_until_s = float("-inf")
+        suspect.probe_deadline_s = float("-inf")
         return True
 
     # What follows
@@ -200,14 +204,14 @@
         suspect = self._suspects.get(key)
         return suspect is not None and len(suspect.crashes) >= self.limits.crashes
 
-    def hold(self, key: str, now_s: float, place: str = "") -> Hold | None:
+    def hold(self, key: str, now_s: float, service_version: str = "") -> Hold | None:
         """Return why a request is held, or None.
 
         Parameters
         ----------
         key : str
         now_s : float
-        place : str
+        service_version : str
             Service and version that would run it. One under which no endpoint has ended yet may be
             mended, or get it by a changed configuration: the next probe of it is soon.
         """
@@ -215,17 +219,17 @@
         if suspect is None or len(suspect.crashes) < self.limits.crashes:
             return None
         gaps_s = self.limits.probe_gaps_s
-        known = {each.place for each in suspect.crashes.values()}
+        known = {each.service_version for each in suspect.crashes.values()}
         step = suspect.probes
         if step < len(gaps_s):
             gap_s = gaps_s[step]
-        elif place and place not in known | suspect.probed:
+        elif service_version and service_version not in known | suspect.probed_versions:
             gap_s = gaps_s[0]
         else:
             doubled = self.limits.hold_s * 2.0 ** min(step - len(gaps_s), 16)
-            gap_s = min(self.limits.longest_hold_s, doubled)
-        last_s = max(suspect.last_s(), suspect.probe_s)
-        until_s = max(last_s + gap_s, suspect.probe_until_s)
+            gap_s = min(self.limits.max_hold_s, doubled)
+        last_s = max(suspect.last_crash_s(), suspect.last_probe_s)
+        until_s = max(last_s + gap_s, suspect.probe_deadline_s)
         return Hold(len(suspect.crashes), suspect.probes, until_s)
 
     # Telling
@@ -235,12 +239,12 @@
         suspect = self._suspects.get(key)
         return [] if suspect is None else list(suspect.crashes.values())
 
-    def probed(self, key: str) -> tuple[str, int, float] | None:
+    def last_probe(self, key: str) -> tuple[str, int, float] | None:
         """Return a place, the number of probes and the time of the last one, if there was any."""
         suspect = self._suspects.get(key)
         if suspect is None or not suspect.probes:
             return None
-        return max(suspect.probed), suspect.probes, suspect.probe_s
+        return max(suspect.probed_versions), suspect.probes, suspect.last_probe_s
 
     def suspects(self) -> list[str]:
         """Return the requests against which something is held, the oldest first."""
@@ -257,7 +261,7 @@
         """Forget what is long past."""
         for key, suspect in list(self._suspects.items()):
             hold = self.hold(key, now_s)
-            old_s = suspect.last_s() + self.limits.forget_s
+            old_s = suspect.last_crash_s() + self.limits.forget_s
             if now_s > old_s and (hold is None or now_s > hold.until_s + self.limits.forget_s):
                 self._drop(key)
 
@@ -267,9 +271,9 @@
         """Make room in the customer's own share first, so that no other one pays for it."""
         customer = key[:CUSTOMER_DIGITS]
         own = self._by_customer.setdefault(customer, {})
-        if len(own) >= self.limits.kept_of_customer:
+        if len(own) >= self.limits.max_requests_per_customer:
             self._drop(self._weakest(own))
-        if len(self._suspects) >= self.limits.kept_requests:
+        if len(self._suspects) >= self.limits.max_requests:
             self._drop(self._weakest(self._suspects))
         self._by_customer.setdefault(customer, own)[key] = None
         suspect = self._suspects[key] = _Suspect()
@@ -278,7 +282,7 @@
     def _weakest(self, keys: Iterable[str]) -> str:
         def strength(key: str) -> tuple[int, float]:
             suspect = self._suspects[key]
-            return len(suspect.crashes), suspect.last_s()
+            return len(suspect.crashes), suspect.last_crash_s()
 
         return min(keys, key=strength)
 
--- a/umberhitch/core/direct/_engine_time.py
+++ b/umberhitch/core/direct/_engine_time.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from math import exp
 
-from umberhitch.core.direct._worth import Stake
+from umberhitch.core.direct._answer_value import AnswerValue
 
 __all__ = ["EngineDemand", "EnginePrice", "EngineTimeLimits"]
 
@@ -30,8 +30,8 @@
     """
 
     window_s: float = 3.0
-    idle: float = 1.0
-    risk: float = 0.3
+    idle_price: float = 1.0
+    late_risk: float = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
         What waits no longer is in time all the same, but for a share of `risk`.
     """
 
-    idle: float = 0.0
-    pressure: float = 0.0
-    soon_s: float = 0.0
-    risk: float = 1.0
+    idle_price: float = 0.0
+    delay_price: float = 0.0
+    on_time_s: float = 0.0
+    late_risk: float = 1.0
 
-    def of(self, work_s: float, backlog_s: float) -> float:
+    def cost(self, work_s: float, backlog_s: float) -> float:
         """Return what work costs on an engine with a backlog, in worth.
 
         Requests that come while a queue of ``x`` seconds is worked off wait between ``x`` and 0
@@ -61,9 +61,9 @@
         """
         end_s = backlog_s + work_s
         sure = end_s**2 - backlog_s**2
-        late = max(0.0, end_s - self.soon_s) ** 2 - max(0.0, backlog_s - self.soon_s) ** 2
-        delay = (self.risk * sure + (1.0 - self.risk) * late) / 2
-        return work_s * self.idle + self.pressure * delay
+        late = max(0.0, end_s - self.on_time_s) ** 2 - max(0.0, backlog_s - self.on_time_s) ** 2
+        delay = (self.late_risk * sure + (1.0 - self.late_risk) * late) / 2
+        return work_s * self.idle_price + self.delay_price * delay
 
 
 class EngineDemand:
@@ -81,15 +81,15 @@
 
     def __init__(self, limits: EngineTimeLimits | None = None) -> None:
         self.limits = limits or EngineTimeLimits()
-        self.routers = 1
+        self.router_count = 1
         self._seen: dict[str, _Decayed] = {}
 
-    def note(self, service: str, stake: Stake, now_s: float) -> None:
+    def record_request(self, service: str, stake: AnswerValue, now_s: float) -> None:
         """Count a request."""
         seen = self._seen.setdefault(service, _Decayed(now_s))
         seen.decay(now_s, self.limits.window_s)
         seen.loss += stake.loss_per_s
-        seen.soon += stake.loss_per_s * stake.soon_s
+        seen.soon += stake.loss_per_s * stake.on_time_s
 
     def price(self, service: str, engines: int, now_s: float) -> EnginePrice:
         """Return the price of the time of one of a service's engines."""
@@ -98,9 +98,9 @@
         if seen is not None:
             seen.decay(now_s, limits.window_s)
         if seen is None or not seen.loss:
-            return EnginePrice(limits.idle)
-        pressure = seen.loss / limits.window_s * self.routers / max(1, engines)
-        return EnginePrice(limits.idle, pressure, seen.soon / seen.loss, limits.risk)
+            return EnginePrice(limits.idle_price)
+        pressure = seen.loss / limits.window_s * self.router_count / max(1, engines)
+        return EnginePrice(limits.idle_price, pressure, seen.soon / seen.loss, limits.late_risk)
 
 
 @dataclass(slots=True)
--- a/umberhitch/core/direct/_events.py
+++ b/umberhitch/core/direct/_events.py
@@ -1,12 +1,12 @@
 """Cuts the bytes of an event stream at the ends of events, and changes none of them."""
 
-__all__ = ["EventCutter"]
+__all__ = ["EventSplitter"]
 
 MAX_EVENT_BYTES = 1_048_576
 """A longer event is no event; the stream counts as broken."""
 
 
-class EventCutter:
+class EventSplitter:
     """Holds back the piece of an event that is not whole yet.
 
     Attributes
@@ -23,7 +23,7 @@
         self._held = b""
 
     @property
-    def is_clean(self) -> bool:
+    def is_at_boundary(self) -> bool:
         """Whether no piece of an event is held back."""
         return not self._held
 
@@ -59,6 +59,6 @@
                 if line.startswith(b"id:"):
                     self.last_id = line[3:].strip()
 
-    def drop(self) -> None:
+    def discard_partial(self) -> None:
         """Forget the piece that is held back: its run has ended."""
         self._held = b""
--- a/umberhitch/core/direct/_evidence.py
+++ b/umberhitch/core/direct/_evidence.py
@@ -4,11 +4,11 @@
 from enum import StrEnum
 from math import sqrt
 
-__all__ = ["AnswerVerdict", "Counts", "EvidenceBar"]
+__all__ = ["AnswerCounts", "AnswerVerdict", "EvidenceThreshold"]
 
 
 @dataclass(frozen=True, slots=True)
-class EvidenceBar:
+class EvidenceThreshold:
     """When answers of one kind turn a version back.
 
     Attributes
@@ -27,23 +27,23 @@
         as many, since it may be the endpoint's own.
     """
 
-    least: int = 3
+    min_count: int = 3
     rate: float = 0.12
     ratio: float = 3.0
-    usual_rate: float = 0.005
+    max_assumed_rate: float = 0.005
     deviations: float = 3.0
 
-    def is_over(self, new: int, new_of: int, old: int, old_of: int, endpoints: int) -> bool:
+    def is_exceeded(self, new: int, new_of: int, old: int, old_of: int, endpoints: int) -> bool:
         """Whether ``new`` of ``new_of`` answers are too many beside ``old`` of ``old_of``."""
-        if new < self.least:
+        if new < self.min_count:
             return False
         old_rate = old / old_of if old_of else 0.0
         if new / new_of > max(self.rate, self.ratio * old_rate):
             return True
         # With few answers of the old version its rate may be higher than it has shown.
-        likely = max(old_rate, min(self.usual_rate, (old + 1) / (old_of + 1)))
+        likely = max(old_rate, min(self.max_assumed_rate, (old + 1) / (old_of + 1)))
         expected = new_of * likely
-        bar = self.least + expected + self.deviations * sqrt(expected)
+        bar = self.min_count + expected + self.deviations * sqrt(expected)
         return new > bar and (endpoints > 1 or new > 2 * bar)
 
 
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class AnswerCounts:
     """Answers of one version, on one route or on all.
 
     Attributes
@@ -80,7 +80,7 @@
     slow: int = 0
     endpoints: set[str] = field(default_factory=set)
 
-    def note(self, endpoint: str, verdict: AnswerVerdict) -> None:
+    def record(self, endpoint: str, verdict: AnswerVerdict) -> None:
         """Count an answer."""
         self.answers += 1
         match verdict:
@@ -98,7 +98,7 @@
                 self.slow += 1
         self.endpoints.add(endpoint)
 
-    def add(self, other: "Counts") -> None:
+    def add(self, other: "AnswerCounts") -> None:
         """Add another's answers."""
         self.answers += other.answers
         self.failed += other.failed
--- a/umberhitch/core/direct/_fleet_share.py
+++ b/umberhitch/core/direct/_fleet_share.py
@@ -15,18 +15,18 @@
 
 __all__ = ["ColdLimits", "FleetBound", "FleetShare"]
 
-SENDERS = 4
+MIN_SENDERS = 4
 """Routers that send to one such endpoint, at least where there are so many. A loss of one of them
 takes a quarter of what it gets, and each may send several in a span, so that few of its share are
 lost to chance."""
-MOST_KEPT = 256
-KEPT_S = 10.0
+MAX_SEND_TIMES = 256
+SEND_TIMES_KEPT_S = 10.0
 """Of the requests to one endpoint so many times are kept, and more only if they are no older."""
-LAPSED_SHARE = 0.6
+UNREGISTERED_SHARE = 0.6
 """Share of its share that a router without a seat uses: the others may go by a list without it."""
-LOOKED_S = 2.5
+MAX_UPDATE_GAP_S = 2.5
 """A router that has not looked at its seat for longer stood still: what it holds may be over."""
-KEPT_LIST_S = 60.0
+ROUTER_LIST_KEPT_S = 60.0
 """A router without a seat goes by its last list for so long: outages of the store are mostly
 shorter."""
 
@@ -78,12 +78,12 @@
     span_s: float
     overrun: float
     slack: float
-    views: float = 2.0
-    sender_rate: float = 5.0
+    concurrent_lists: float = 2.0
+    rate_per_sender: float = 5.0
     is_paced: bool = False
 
     @property
-    def most(self) -> float:
+    def max_requests(self) -> float:
         """Return how many requests it may get in a span."""
         return self.rate * self.span_s * self.overrun + self.slack
 
@@ -99,69 +99,72 @@
     """
 
     name: str
-    is_settled: bool = False
+    is_registered: bool = False
     """Whether this router has its seat, and the others have heard of it."""
-    _listed: tuple[str, ...] = ()
+    _latest_routers: tuple[str, ...] = ()
     _routers: tuple[str, ...] = ()
     """The list that shares go by: the newest that this router had its place on."""
-    _settled_s: float = -inf
-    _looked_s: float = -inf
+    _registered_s: float = -inf
+    _updated_s: float = -inf
     _ranks: dict[str, int] = field(default_factory=dict)
-    _sent: dict[str, deque[float]] = field(default_factory=dict)
+    _send_times: dict[str, deque[float]] = field(default_factory=dict)
 
     # Who sends
 
-    def take_routers(self, names: Iterable[str]) -> None:
+    def set_routers(self, names: Iterable[str]) -> None:
         """Take the routers that the store lists, this one among them."""
-        self._listed = tuple(sorted(names))
+        self._latest_routers = tuple(sorted(names))
 
-    def look(self, is_settled: bool, now_s: float) -> None:
+    def update_registration(self, is_registered: bool, now_s: float) -> None:
         """Take whether this router's place on the list is sure; to be called each second or so."""
-        if now_s > self._looked_s + LOOKED_S:
-            self._settled_s = -inf
-        self._looked_s = now_s
-        self.is_settled = is_settled
-        if not is_settled:
+        if now_s > self._updated_s + MAX_UPDATE_GAP_S:
+            self._registered_s = -inf
+        self._updated_s = now_s
+        self.is_registered = is_registered
+        if not is_registered:
             return
-        self._settled_s = now_s
-        if self._routers != self._listed:
-            self._routers = self._listed
+        self._registered_s = now_s
+        if self._routers != self._latest_routers:
+            self._routers = self._latest_routers
             self._ranks.clear()
 
-    def knows_list(self, now_s: float) -> bool:
+    def has_router_list(self, now_s: float) -> bool:
         """Whether this router has a list to go by, perhaps that of before it lost its seat."""
-        is_awake = now_s <= self._looked_s + LOOKED_S
-        return is_awake and now_s <= self._settled_s + KEPT_LIST_S
+        is_awake = now_s <= self._updated_s + MAX_UPDATE_GAP_S
+        return is_awake and now_s <= self._registered_s + ROUTER_LIST_KEPT_S
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """Number of routers on the list."""
         return max(1, len(self._routers))
 
-    def total(self, bound: FleetBound) -> int:
+    def total_quota(self, bound: FleetBound) -> int:
         """Return how many requests all senders of one list may send within `window_s`."""
-        return max(1, min(ceil(bound.rate * bound.span_s), int(bound.most / bound.views)))
+        return max(
+            1,
+            min(ceil(bound.rate * bound.span_s), int(bound.max_requests / bound.concurrent_lists)),
+        )
 
     def window_s(self, bound: FleetBound) -> float:
         """Return the time in which that many are sent: longer than a span at a low rate."""
-        return max(bound.span_s, self.total(bound) / bound.rate)
+        return max(bound.span_s, self.total_quota(bound) / bound.rate)
 
-    def senders(self, bound: FleetBound) -> int:
+    def sender_count(self, bound: FleetBound) -> int:
         """Return how many routers may send to one endpoint."""
-        total = self.total(bound)
-        wanted = max(SENDERS, ceil(total / self.window_s(bound) / bound.sender_rate))
+        total = self.total_quota(bound)
+        wanted = max(MIN_SENDERS, ceil(total / self.window_s(bound) / bound.rate_per_sender))
         return max(1, min(wanted, len(self._routers), total))
 
-    def most(self, lifetime: str, bound: FleetBound) -> int:
+    def quota(self, lifetime: str, bound: FleetBound) -> int:
         """Return how many requests this router may send within `window_s`; 0 if it is no sender."""
         if bound.rate <= 0.0 or not self._routers:
             return 0
-        senders, rank = self.senders(bound), self._rank(lifetime)
+        senders, rank = self.sender_count(bound), self._rank(lifetime)
         if rank >= senders:
             return 0
-        total = self.total(bound)
-        if not self.is_settled:
-            total = max(1, int(LAPSED_SHARE * total))
+        total = self.total_quota(bound)
+        if not self.is_registered:
+            total = max(1, int(UNREGISTERED_SHARE * total))
         share, rest = divmod(total, senders)
         return share + (rank < rest)
 
@@ -176,7 +179,7 @@
 
     # What is sent
 
-    def wait_s(self, lifetime: str, bound: FleetBound, now_s: float, kept: int = 0) -> float:
+    def wait_s(self, lifetime: str, bound: FleetBound, now_s: float, reserved: int = 0) -> float:
         """Return the time until this router may send; infinite where it is none of the senders.
 
         Parameters
@@ -184,13 +187,13 @@
         lifetime : str
         bound : FleetBound
         now_s : float
-        kept : int
+        reserved : int
             So much of the share is left for others.
         """
-        most = self.most(lifetime, bound) - kept
+        most = self.quota(lifetime, bound) - reserved
         if most <= 0:
             return inf
-        sent = self._sent.get(lifetime)
+        sent = self._send_times.get(lifetime)
         if not sent:
             return 0.0
         window_s = self.window_s(bound)
@@ -202,9 +205,9 @@
 
     def note_sent(self, lifetime: str, now_s: float) -> None:
         """Count a request that was sent to an endpoint that has a bound, or may have one."""
-        sent = self._sent.setdefault(lifetime, deque())
+        sent = self._send_times.setdefault(lifetime, deque())
         sent.append(now_s)
-        while len(sent) > MOST_KEPT and sent[0] < now_s - KEPT_S:
+        while len(sent) > MAX_SEND_TIMES and sent[0] < now_s - SEND_TIMES_KEPT_S:
             sent.popleft()
 
     def assume_used(self, lifetime: str, bound: FleetBound, now_s: float) -> None:
@@ -212,8 +215,8 @@
 
         What was sent before the bound was known is not known, and is still under way.
         """
-        most = self.most(lifetime, bound)
-        if not most or self._sent.get(lifetime):
+        most = self.quota(lifetime, bound)
+        if not most or self._send_times.get(lifetime):
             return
         gap_s = self.window_s(bound) / most
         for number in range(most):
@@ -222,12 +225,12 @@
     def used(self, lifetime: str, bound: FleetBound, now_s: float) -> int:
         """Return how much of the share was used within the last `window_s`."""
         since_s = now_s - self.window_s(bound)
-        return sum(at_s > since_s for at_s in self._sent.get(lifetime, ()))
+        return sum(at_s > since_s for at_s in self._send_times.get(lifetime, ()))
 
     def forget(self, known: Iterable[str]) -> None:
         """Keep only what concerns lifetimes of endpoints that are still known."""
         keep = set(known)
-        for counted in (self._sent, self._ranks):
+        for counted in (self._send_times, self._ranks):
             for lifetime in [each for each in counted if each not in keep]:
                 del counted[lifetime]
 
--- a/umberhitch/core/direct/_header_values.py
+++ b/umberhitch/core/direct/_header_values.py
@@ -11,21 +11,21 @@
 
 __all__ = [
     "Backoff",
-    "read_backoff",
-    "read_flag",
-    "read_load",
-    "read_numbers",
-    "read_prompt",
+    "parse_backoff",
+    "parse_flag",
+    "parse_ints",
+    "parse_load",
+    "parse_prompt",
 ]
 
-SECONDS = re.compile(rb"[0-9]{1,40}(?:\.[0-9]{0,40})?|\.[0-9]{1,40}")
+DECIMAL = re.compile(rb"[0-9]{1,40}(?:\.[0-9]{0,40})?|\.[0-9]{1,40}")
 HTTP_DATE = re.compile(
     rb"(?:[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT"
     rb"|[A-Z][a-z]{5,8}, \d{2}-[A-Z][a-z]{2}-\d{2} \d{2}:\d{2}:\d{2} GMT"
     rb"|[A-Z][a-z]{2} [A-Z][a-z]{2} [ \d]\d \d{2}:\d{2}:\d{2} \d{4})"
 )
 """The three forms of RFC 9110, 5.6.7."""
-LONGEST_BACKOFF_S = 86_400.0
+MAX_BACKOFF_S = 86_400.0
 """A day: endpoints are replaced more often than that."""
 
 
@@ -42,10 +42,10 @@
     """
 
     seconds: float | None = None
-    is_unclear: bool = False
+    is_malformed: bool = False
 
 
-def read_backoff(values: list[bytes], date: bytes, time_of_day: Callable[[], float]) -> Backoff:
+def parse_backoff(values: list[bytes], date: bytes, time_of_day: Callable[[], float]) -> Backoff:
     """Return the time that values name, as seconds or as dates; of several the longest counts.
 
     Parameters
@@ -67,10 +67,10 @@
             if until_s is not None:
                 found.append(until_s - (time_of_day() if written_s is None else written_s))
         words += [word.strip(b" \t") for word in HTTP_DATE.sub(b"", value).split(b",")]
-    found += [float(word) for word in words if SECONDS.fullmatch(word)]
+    found += [float(word) for word in words if DECIMAL.fullmatch(word)]
     if not found:
-        return Backoff(None, is_unclear=True)
-    return Backoff(min(LONGEST_BACKOFF_S, max(0.0, *found)))
+        return Backoff(None, is_malformed=True)
+    return Backoff(min(MAX_BACKOFF_S, max(0.0, *found)))
 
 
 def _date_s(value: bytes) -> float | None:
@@ -87,25 +87,25 @@
     return parsed.replace(tzinfo=UTC).timestamp()
 
 
-def read_flag(values: list[bytes]) -> tuple[bool, bool]:
+def parse_flag(values: list[bytes]) -> tuple[bool, bool]:
     """Return whether values raise a flag (``1``), and whether any of them is neither 1 nor 0."""
     words = [word.strip(b" \t") for value in values for word in value.split(b",")]
     return b"1" in words, any(word not in (b"0", b"1") for word in words)
 
 
-def read_numbers(value: bytes | None) -> list[int]:
+def parse_ints(value: bytes | None) -> list[int]:
     """Return the whole numbers of a list; what is none is left out."""
     parts = [part.strip() for part in (value or b"").split(b",")]
     return [int(part) for part in parts if part.isdigit()]
 
 
-def read_load(value: bytes | None) -> ReportedLoad | None:
+def parse_load(value: bytes | None) -> ReportedLoad | None:
     """Return a load, given as running, waiting and slots."""
-    numbers = read_numbers(value)
+    numbers = parse_ints(value)
     return ReportedLoad(*numbers) if len(numbers) == 3 else None
 
 
-def read_prompt(value: bytes | None, tokens: int) -> tuple[PromptPart, ...]:
+def parse_prompt(value: bytes | None, tokens: int) -> tuple[PromptPart, ...]:
     """Return the parts of a prompt, given as ``ID:TOKENS``; the last one is the request's own.
 
     Raises
--- a/umberhitch/core/direct/_members.py
+++ b/umberhitch/core/direct/_members.py
@@ -17,63 +17,63 @@
     zones_out: dict[str, float]
     """Of the directory."""
     by_incarnation: dict[str, Endpoint] = field(default_factory=dict)
-    listed: list[Endpoint] | None = None
-    homes: dict[int, tuple[int, Endpoint]] = field(default_factory=dict)
+    cached_in_service: list[Endpoint] | None = None
+    affinity_endpoints: dict[int, tuple[int, Endpoint]] = field(default_factory=dict)
     """By bucket: the home's score, and the home."""
 
     def put(self, endpoint: Endpoint) -> None:
         """Take an endpoint, or a change of its entry; only homes that it wins or loses move."""
         self.by_incarnation[endpoint.entry.incarnation] = endpoint
-        self.listed = None
-        self._give_up_homes(endpoint)
-        if self._is_listed(endpoint):
-            for bucket, (score, _) in self.homes.items():
+        self.cached_in_service = None
+        self._drop_affinity(endpoint)
+        if self._is_in_service(endpoint):
+            for bucket, (score, _) in self.affinity_endpoints.items():
                 own = _score(bucket, endpoint)
                 if own > score:
-                    self.homes[bucket] = (own, endpoint)
+                    self.affinity_endpoints[bucket] = (own, endpoint)
 
     def remove(self, endpoint: Endpoint) -> None:
         """Forget an endpoint."""
         if self.by_incarnation.pop(endpoint.entry.incarnation, None) is not None:
-            self.listed = None
-            self._give_up_homes(endpoint)
+            self.cached_in_service = None
+            self._drop_affinity(endpoint)
 
-    def _give_up_homes(self, endpoint: Endpoint) -> None:
-        lost = [bucket for bucket, (_, home) in self.homes.items() if home is endpoint]
+    def _drop_affinity(self, endpoint: Endpoint) -> None:
+        lost = [bucket for bucket, (_, home) in self.affinity_endpoints.items() if home is endpoint]
         for bucket in lost:
-            del self.homes[bucket]
+            del self.affinity_endpoints[bucket]
 
-    def home(self, bucket: int) -> Endpoint | None:
+    def affinity_endpoint(self, bucket: int) -> Endpoint | None:
         """Return the home of a bucket, worked out when it is first asked for."""
-        found = self.homes.get(bucket)
+        found = self.affinity_endpoints.get(bucket)
         if found is None:
-            scored = [(_score(bucket, each), index) for index, each in enumerate(self.all())]
+            scored = [(_score(bucket, each), index) for index, each in enumerate(self.in_service())]
             if not scored:
                 return None
             score, index = max(scored)
-            found = self.homes[bucket] = (score, self.all()[index])
+            found = self.affinity_endpoints[bucket] = (score, self.in_service()[index])
         return found[1]
 
-    def all(self) -> list[Endpoint]:
+    def in_service(self) -> list[Endpoint]:
         """Return the endpoints that do not leave, of zones that are in service.
 
         Each router has an order of its own: the first of equals is not the same at all of them.
         """
-        if self.listed is None:
-            found = [each for each in self.by_incarnation.values() if self._is_listed(each)]
-            self.listed = sorted(found, key=self._place)
-        return self.listed
+        if self.cached_in_service is None:
+            found = [each for each in self.by_incarnation.values() if self._is_in_service(each)]
+            self.cached_in_service = sorted(found, key=self._order_key)
+        return self.cached_in_service
 
-    def _place(self, endpoint: Endpoint) -> int:
+    def _order_key(self, endpoint: Endpoint) -> int:
         return xxh3_64_intdigest(f"{self.router}|{endpoint.lifetime}".encode())
 
-    def _is_listed(self, endpoint: Endpoint) -> bool:
-        return not endpoint.is_leaving and endpoint.entry.zone not in self.zones_out
+    def _is_in_service(self, endpoint: Endpoint) -> bool:
+        return not endpoint.is_draining and endpoint.entry.zone not in self.zones_out
 
-    def zones_changed(self) -> None:
+    def invalidate(self) -> None:
         """Work out anew what depends on the zones that are in service."""
-        self.listed = None
-        self.homes.clear()
+        self.cached_in_service = None
+        self.affinity_endpoints.clear()
 
 
 def _score(bucket: int, endpoint: Endpoint) -> int:
--- a/umberhitch/core/direct/_placement.py
+++ b/umberhitch/core/direct/_placement.py
@@ -9,15 +9,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from umberhitch.core.direct._answer_value import AnswerValue
 from umberhitch.core.direct._endpoint import Endpoint
 from umberhitch.core.direct._engine_time import EnginePrice
-from umberhitch.core.direct._reading_pace import ReadingPace
-from umberhitch.core.direct._readings import LONG_READING_S, NO_READING, Readings
+from umberhitch.core.direct._prefill_speed import PrefillSpeed
+from umberhitch.core.direct._prefills import LONG_PREFILL_S, NO_PREFILL, ActivePrefills
 from umberhitch.core.direct._signals import ReportedLoad
-from umberhitch.core.direct._types import Ask, PromptPart, Service
-from umberhitch.core.direct._worth import Stake
+from umberhitch.core.direct._types import CallerRequest, PromptPart, Service
 
-__all__ = ["EngineWork", "Offer", "Placed", "Placement", "PlacementLimits"]
+__all__ = ["Candidate", "EngineCall", "PlacedCall", "Placement", "PlacementLimits"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,34 +59,34 @@
         only what they placed themselves; the home is the same for all of them.
     """
 
-    first_token_s: float = 0.000005
-    growth: float = 3.0
-    running_s: float = 0.0006
-    plain_s: float = 0.02
-    full_s: float = 0.05
-    far_s: float = 0.004
-    far_byte: float = 0.00003
-    hurry: float = 0.05
-    failing_s: float = 0.5
-    refused_share: float = 0.1
-    load_age_s: float = 1.0
-    cached_share: float = 0.5
-    home_share: float = 0.8
-
-
-PACE_WEIGHT = 0.1
+    initial_token_s: float = 0.000005
+    rank_slowdown: float = 3.0
+    running_call_s: float = 0.0006
+    plain_call_s: float = 0.02
+    queued_call_s: float = 0.05
+    cross_zone_s: float = 0.004
+    cross_zone_byte_cost: float = 0.00003
+    queue_risk: float = 0.05
+    failure_penalty_s: float = 0.5
+    refusal_penalty: float = 0.1
+    load_decay_s: float = 1.0
+    cache_share: float = 0.5
+    affinity_share: float = 0.8
+
+
+SLOWNESS_WEIGHT = 0.1
 FAILURE_WEIGHT = 0.2
 REFUSAL_WEIGHT = 0.5
 """Weight of the newest reading in the running means. A refusal tells more than a failure: one that
 is full, or sheds, refuses the next call as well, and fast."""
-SLOWEST = 8.0
+MAX_SLOWNESS = 8.0
 """An endpoint is taken to be at most so many times slower than usual."""
-LEAST_BASE_S = 0.02
+MIN_EXPECTED_S = 0.02
 """Shorter waits say nothing of an endpoint's pace: the way there and back is in them."""
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class Candidate:
     """Where a call may go.
 
     Attributes
@@ -103,14 +103,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineWork:
+class EngineCall:
     """A call to an engine for which a place is looked for.
 
     Attributes
     ----------
     models : tuple of str
         All of the route, smallest first.
-    stake : Stake
+    stake : AnswerValue
         What the answer is worth.
     price : EnginePrice
         Of the time of one of the endpoints.
@@ -120,31 +120,31 @@
         Time since the request came.
     """
 
-    ask: Ask
+    request: CallerRequest
     model: str
     models: tuple[str, ...]
-    stake: Stake
+    answer_value: AnswerValue
     price: EnginePrice = EnginePrice()
-    home: Endpoint | None = None
+    affinity_endpoint: Endpoint | None = None
     waited_s: float = 0.0
 
 
 @dataclass(slots=True)
-class Placed:
+class PlacedCall:
     """A call that was placed, until it is released."""
 
     lifetime: str
     model: str
-    tokens: int
-    work_s: float
-    base_s: float
+    uncached_tokens: int
+    prefill_s: float
+    expected_s: float
     """Expected wait on an endpoint of usual pace, queue included."""
-    at_s: float
-    assumed_s: float = 0.0
+    placed_at_s: float
+    assumed_token_s: float = 0.0
     """Reading of one token by the model, before any reading was seen."""
-    rank: int = 0
+    model_rank: int = 0
     """Of the model on its route, smallest 0."""
-    is_reading: bool = True
+    is_prefilling: bool = True
 
 
 @dataclass(slots=True)
@@ -161,7 +161,7 @@
     load_at_s: float = 0.0
     others_running: int = 0
     others_reading_s: float = 0.0
-    readings: Readings = field(default_factory=Readings)
+    readings: ActivePrefills = field(default_factory=ActivePrefills)
     cached: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
     cached_tokens: int = 0
 
@@ -180,9 +180,9 @@
         self._zone = zone
         self.limits = limits or PlacementLimits()
         self._seen: dict[str, _Seen] = {}
-        self._pace = ReadingPace()
+        self._pace = PrefillSpeed()
 
-    def forget(self, known: Iterable[str]) -> None:
+    def retain(self, known: Iterable[str]) -> None:
         """Keep only what concerns lifetimes of endpoints that are still known."""
         keep = set(known)
         for lifetime in [each for each in self._seen if each not in keep]:
@@ -196,9 +196,9 @@
     def _assumed_s(self, model: str, models: tuple[str, ...]) -> float:
         """Return the pace that a model is taken to have before it is seen."""
         rank = models.index(model) if model in models else 0
-        return self.limits.first_token_s * self.limits.growth**rank
+        return self.limits.initial_token_s * self.limits.rank_slowdown**rank
 
-    def choose_plain(self, endpoints: list[Endpoint], now_s: float) -> Offer:
+    def choose_plain(self, endpoints: list[Endpoint], now_s: float) -> Candidate:
         """Return where a call to a plain service begins first.
 
         Raises
@@ -207,11 +207,11 @@
             If there is no endpoint.
         """
         return min(
-            (Offer(each, self._plain_wait_s(each, now_s)) for each in endpoints),
+            (Candidate(each, self._plain_wait_s(each, now_s)) for each in endpoints),
             key=lambda offer: offer.wait_s + self._aversion_s(offer.endpoint, now_s),
         )
 
-    def choose_engine(self, endpoints: list[Endpoint], work: EngineWork, now_s: float) -> Offer:
+    def choose_engine(self, endpoints: list[Endpoint], work: EngineCall, now_s: float) -> Candidate:
         """Return where a call to an engine costs least worth.
 
         Raises
@@ -222,15 +222,15 @@
         offers = (self._engine_offer(each, work, now_s) for each in endpoints)
         return min(offers, key=lambda offer: self._cost(offer, work, now_s))
 
-    def _cost(self, offer: Offer, work: EngineWork, now_s: float) -> float:
+    def _cost(self, offer: Candidate, work: EngineCall, now_s: float) -> float:
         """Return what a call costs somewhere, in worth: its own lateness, others' delay, bytes."""
-        limits, stake = self.limits, work.stake
-        lost = stake.worth * (1.0 - stake.timely(work.waited_s + offer.wait_s))
-        lost += stake.worth * limits.refused_share * self._refusing(offer.endpoint, now_s)
+        limits, stake = self.limits, work.answer_value
+        lost = stake.value * (1.0 - stake.value_fraction(work.waited_s + offer.wait_s))
+        lost += stake.value * limits.refusal_penalty * self._refusing(offer.endpoint, now_s)
         is_near = offer.endpoint.entry.zone == self._zone
-        far = 0.0 if is_near else limits.far_byte * len(work.ask.body)
+        far = 0.0 if is_near else limits.cross_zone_byte_cost * len(work.request.body)
         hurry_s = offer.wait_s + self._failing_s(offer.endpoint)
-        return lost + offer.delay_cost + far + limits.hurry * stake.loss_per_s * hurry_s
+        return lost + offer.delay_cost + far + limits.queue_risk * stake.loss_per_s * hurry_s
 
     def _plain_wait_s(self, endpoint: Endpoint, now_s: float) -> float:
         """Return the wait at a plain service."""
@@ -239,7 +239,7 @@
             return 0.0
         running, _ = self._load(seen, now_s)
         slots = max(1, endpoint.entry.slots)
-        each_s = self.limits.plain_s
+        each_s = self.limits.plain_call_s
         return seen.slow * (each_s * running / slots + each_s * max(0.0, running - slots))
 
     def _load(self, seen: _Seen, now_s: float) -> tuple[float, float]:
@@ -251,29 +251,29 @@
         running += weight * max(0, seen.load.running + seen.load.waiting - running)
         return running, weight * max(0, seen.load.waiting)
 
-    def _engine_offer(self, endpoint: Endpoint, work: EngineWork, now_s: float) -> Offer:
-        lifetime, ask = endpoint.lifetime, work.ask
+    def _engine_offer(self, endpoint: Endpoint, work: EngineCall, now_s: float) -> Candidate:
+        lifetime, ask = endpoint.lifetime, work.request
         unread = float(ask.prompt_tokens - self.cached_tokens(lifetime, work.model, ask))
-        if endpoint is work.home:
-            unread -= self.limits.home_share * (unread - ask.prompt[-1].tokens)
+        if endpoint is work.affinity_endpoint:
+            unread -= self.limits.affinity_share * (unread - ask.prompt[-1].tokens)
         work_s = unread * self.token_s(work.model, work.models)
         seen = self._seen.get(lifetime)
         if seen is None:
-            return Offer(endpoint, work_s, work.price.of(work_s, 0.0))
+            return Candidate(endpoint, work_s, work.price.cost(work_s, 0.0))
         running, waiting = self._load(seen, now_s)
         over = max(0.0, running - endpoint.entry.slots) if endpoint.entry.slots else 0.0
         backlog_s = seen.slow * self._base_s(seen, 0.0, running)
-        backlog_s += self.limits.full_s * (over + waiting)
+        backlog_s += self.limits.queued_call_s * (over + waiting)
         work_s *= seen.slow
-        return Offer(endpoint, backlog_s + work_s, work.price.of(work_s, backlog_s))
+        return Candidate(endpoint, backlog_s + work_s, work.price.cost(work_s, backlog_s))
 
     def _base_s(self, seen: _Seen, own_s: float, running: float) -> float:
         """Return the wait on an endpoint of usual pace."""
-        return own_s + seen.reading_s + seen.others_reading_s + running * self.limits.running_s
+        return own_s + seen.reading_s + seen.others_reading_s + running * self.limits.running_call_s
 
     def _aversion_s(self, endpoint: Endpoint, now_s: float) -> float:
-        far_s = 0.0 if endpoint.entry.zone == self._zone else self.limits.far_s
-        refusing_s = self._refusing(endpoint, now_s) * self.limits.failing_s
+        far_s = 0.0 if endpoint.entry.zone == self._zone else self.limits.cross_zone_s
+        refusing_s = self._refusing(endpoint, now_s) * self.limits.failure_penalty_s
         return far_s + refusing_s + self._failing_s(endpoint)
 
     def _refusing(self, endpoint: Endpoint, now_s: float) -> float:
@@ -285,12 +285,12 @@
 
     def _failing_s(self, endpoint: Endpoint) -> float:
         seen = self._seen.get(endpoint.lifetime)
-        return 0.0 if seen is None else seen.failing * self.limits.failing_s
+        return 0.0 if seen is None else seen.failing * self.limits.failure_penalty_s
 
     def _age_weight(self, age_s: float) -> float:
-        return 1.0 / (1.0 + 2.0 * max(0.0, age_s) / self.limits.load_age_s)
+        return 1.0 / (1.0 + 2.0 * max(0.0, age_s) / self.limits.load_decay_s)
 
-    def cached_tokens(self, lifetime: str, model: str, ask: Ask) -> int:
+    def cached_tokens(self, lifetime: str, model: str, ask: CallerRequest) -> int:
         """Return how many tokens of the prompt the endpoint probably holds for a model."""
         seen = self._seen.get(lifetime)
         if seen is None:
@@ -305,12 +305,12 @@
     def place(
         self,
         endpoint: Endpoint,
-        ask: Ask,
+        ask: CallerRequest,
         model: str,
         models: tuple[str, ...],
         service: Service | None,
         now_s: float,
-    ) -> Placed:
+    ) -> PlacedCall:
         """Count a call on an endpoint until it is released."""
         lifetime = endpoint.lifetime
         seen = self._seen.setdefault(lifetime, _Seen())
@@ -319,12 +319,12 @@
         base_s = self._base_s(seen, work_s, seen.running + seen.others_running)
         seen.running += 1
         seen.reading_s += work_s
-        cache = (service.cache_tokens if service else 0) * self.limits.cached_share
+        cache = (service.cache_tokens if service else 0) * self.limits.cache_share
         self._cache(seen, model, ask.prompt[:-1], cache)
         assumed_s = self._assumed_s(model, models)
         rank = models.index(model) if model in models else 0
-        seen.readings.began(rank, work_s)
-        return Placed(lifetime, model, unread, work_s, base_s, now_s, assumed_s, rank)
+        seen.readings.start(rank, work_s)
+        return PlacedCall(lifetime, model, unread, work_s, base_s, now_s, assumed_s, rank)
 
     def _cache(
         self, seen: _Seen, model: str, parts: tuple[PromptPart, ...], limit_tokens: float
@@ -339,38 +339,40 @@
         while seen.cached and seen.cached_tokens > limit_tokens:
             seen.cached_tokens -= seen.cached.popitem(last=False)[1]
 
-    def began(self, placed: Placed, now_s: float) -> None:
+    def note_reply_started(self, placed: PlacedCall, now_s: float) -> None:
         """Note that a call's reply has begun: its prompt is read, and its pace is known."""
         seen = self._finish_reading(placed)
         if seen is None:
             return
         seen.refusing *= 1.0 - REFUSAL_WEIGHT
-        if placed.work_s > LONG_READING_S:
-            seen.readings.seen(placed.rank, now_s)
-        taken_s = now_s - placed.at_s
+        if placed.prefill_s > LONG_PREFILL_S:
+            seen.readings.mark_active(placed.model_rank, now_s)
+        taken_s = now_s - placed.placed_at_s
         # The queue is taken off before a pace is learned, else a crowd looks like a slow model.
-        queue_s = placed.base_s - placed.work_s
-        self._pace.note(placed.model, placed.tokens, taken_s, queue_s, placed.assumed_s)
-        ratio = min(SLOWEST, taken_s / max(placed.base_s, LEAST_BASE_S))
-        seen.slow = min(SLOWEST, max(0.5, seen.slow + PACE_WEIGHT * (ratio - seen.slow)))
+        queue_s = placed.expected_s - placed.prefill_s
+        self._pace.add_sample(
+            placed.model, placed.uncached_tokens, taken_s, queue_s, placed.assumed_token_s
+        )
+        ratio = min(MAX_SLOWNESS, taken_s / max(placed.expected_s, MIN_EXPECTED_S))
+        seen.slow = min(MAX_SLOWNESS, max(0.5, seen.slow + SLOWNESS_WEIGHT * (ratio - seen.slow)))
 
-    def refused(self, placed: Placed, now_s: float) -> None:
+    def note_refused(self, placed: PlacedCall, now_s: float) -> None:
         """Note that an endpoint refuses a call: it is full, or sheds."""
         seen = self._seen.get(placed.lifetime)
         if seen is not None:
             seen.refusing += REFUSAL_WEIGHT * (1.0 - seen.refusing)
             seen.refused_s = now_s
 
-    def _finish_reading(self, placed: Placed) -> _Seen | None:
+    def _finish_reading(self, placed: PlacedCall) -> _Seen | None:
         seen = self._seen.get(placed.lifetime)
-        if placed.is_reading:
-            placed.is_reading = False
+        if placed.is_prefilling:
+            placed.is_prefilling = False
             if seen is not None:
-                seen.reading_s = max(0.0, seen.reading_s - placed.work_s)
-                seen.readings.ended(placed.rank, placed.work_s)
+                seen.reading_s = max(0.0, seen.reading_s - placed.prefill_s)
+                seen.readings.finish(placed.model_rank, placed.prefill_s)
         return seen
 
-    def release(self, placed: Placed, is_failure: bool | None) -> None:
+    def release(self, placed: PlacedCall, is_failure: bool | None) -> None:
         """Count a call no more; ``is_failure`` is None where the endpoint is not to blame."""
         seen = self._finish_reading(placed)
         if seen is None:
@@ -379,43 +381,43 @@
         if is_failure is not None:
             seen.failing += FAILURE_WEIGHT * (float(is_failure) - seen.failing)
 
-    def report(self, lifetime: str, load: ReportedLoad, now_s: float) -> None:
+    def update_reported_load(self, lifetime: str, load: ReportedLoad, now_s: float) -> None:
         """Take the load that an endpoint reported."""
         seen = self._seen.setdefault(lifetime, _Seen())
         seen.load = load
         seen.load_at_s = now_s
 
-    def others(
+    def update_peer_load(
         self, lifetime: str, running: int, reading_s: float, rank: int, now_s: float
     ) -> None:
         """Take what the other routers have placed on an endpoint, all together."""
         seen = self._seen.setdefault(lifetime, _Seen())
-        seen.readings.seen(rank, now_s)
+        seen.readings.mark_active(rank, now_s)
         seen.others_running = running
         seen.others_reading_s = reading_s
 
-    def own(self) -> dict[str, tuple[int, float, int]]:
+    def own_load(self) -> dict[str, tuple[int, float, int]]:
         """Return running calls, unread work in seconds and the rank that reads, by endpoint."""
         return {
-            lifetime: (seen.running, seen.reading_s, seen.readings.under_way())
+            lifetime: (seen.running, seen.reading_s, seen.readings.largest_active())
             for lifetime, seen in self._seen.items()
             if seen.running
         }
 
-    def read_rank(self, lifetime: str, since_s: float) -> int:
+    def largest_prefill_rank(self, lifetime: str, since_s: float) -> int:
         """Return the largest model that has read a long prompt on an endpoint since a time.
 
-        It is given by its rank on its route, smallest 0; `NO_READING` where none has.
+        It is given by its rank on its route, smallest 0; `NO_PREFILL` where none has.
         """
         seen = self._seen.get(lifetime)
-        return NO_READING if seen is None else seen.readings.largest(since_s)
+        return NO_PREFILL if seen is None else seen.readings.largest_since(since_s)
 
-    def running(self, lifetime: str) -> int:
+    def running_calls(self, lifetime: str) -> int:
         """Return this router's running calls on an endpoint."""
         seen = self._seen.get(lifetime)
         return 0 if seen is None else seen.running
 
-    def all_running(self, lifetime: str) -> int:
+    def all_running_calls(self, lifetime: str) -> int:
         """Return the running calls on an endpoint, those that peers told of included."""
         seen = self._seen.get(lifetime)
         return 0 if seen is None else seen.running + seen.others_running
--- a/umberhitch/core/direct/_reading_pace.py
+++ b/umberhitch/core/direct/_prefill_speed.py
@@ -3,15 +3,15 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["ReadingPace"]
+__all__ = ["PrefillSpeed"]
 
-KEPT = 31
+MAX_SAMPLES = 31
 """Samples of a model's pace that are kept: some seconds' worth."""
-FIRST_EVENT_S = 0.02
+FIRST_EVENT_OVERHEAD_S = 0.02
 """Time of the way there and back and of the first step, which is in every sample; seconds."""
-LEAST_TOKENS = 300
+MIN_TOKENS = 300
 """Shorter readings say nothing: the first event's own time is many times theirs."""
-LEAST_TOKEN_S = 0.000001
+MIN_TOKEN_S = 0.000001
 PRIOR_TOKENS = 2000.0
 """Weight of what is assumed, against tokens that were read."""
 
@@ -22,7 +22,7 @@
     weight: float
 
 
-class ReadingPace:
+class PrefillSpeed:
     """Seconds a token by model: the weighted median of late samples.
 
     A sample errs high where a queue was longer than known and low where another router had had the
@@ -39,7 +39,7 @@
         """Return a model's pace, or None where nothing is known of it."""
         return self._known.get(model)
 
-    def note(
+    def add_sample(
         self, model: str, tokens: int, taken_s: float, queue_s: float, assumed_s: float
     ) -> None:
         """Take how long a reply took to begin.
@@ -55,13 +55,13 @@
         assumed_s : float
             Pace that was assumed before any sample, seconds a token.
         """
-        if tokens < LEAST_TOKENS:
+        if tokens < MIN_TOKENS:
             return
         samples = self._samples.get(model)
         if samples is None:
-            samples = self._samples[model] = deque(maxlen=KEPT)
+            samples = self._samples[model] = deque(maxlen=MAX_SAMPLES)
             samples.append(_Sample(assumed_s, PRIOR_TOKENS))
-        token_s = max(LEAST_TOKEN_S, (taken_s - queue_s - FIRST_EVENT_S) / tokens)
+        token_s = max(MIN_TOKEN_S, (taken_s - queue_s - FIRST_EVENT_OVERHEAD_S) / tokens)
         share = 1.0 - min(0.95, queue_s / max(taken_s, 0.001))
         samples.append(_Sample(token_s, tokens * share))
         self._known[model] = _weighted_median(samples)
--- a/umberhitch/core/direct/_readings.py
+++ b/umberhitch/core/direct/_prefills.py
@@ -7,41 +7,41 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["LONG_READING_S", "NO_READING", "Readings"]
+__all__ = ["LONG_PREFILL_S", "NO_PREFILL", "ActivePrefills"]
 
-NO_READING = -1
+NO_PREFILL = -1
 """Rank where no long prompt is read."""
-LONG_READING_S = 0.03
+LONG_PREFILL_S = 0.03
 """Shorter readings fall into a gap or two, which a median passes over."""
 
 
 @dataclass(slots=True)
-class Readings:
+class ActivePrefills:
     """Readings on one endpoint by the rank of the model, the smallest of a route 0."""
 
     _under_way: dict[int, int] = field(default_factory=dict)
     _until_s: dict[int, float] = field(default_factory=dict)
 
-    def began(self, rank: int, work_s: float) -> None:
+    def start(self, rank: int, work_s: float) -> None:
         """Note that a call was sent there whose prompt takes so long to read."""
-        if work_s > LONG_READING_S:
+        if work_s > LONG_PREFILL_S:
             self._under_way[rank] = self._under_way.get(rank, 0) + 1
 
-    def ended(self, rank: int, work_s: float) -> None:
+    def finish(self, rank: int, work_s: float) -> None:
         """Note that it is read, or dropped."""
-        if work_s > LONG_READING_S:
+        if work_s > LONG_PREFILL_S:
             self._under_way[rank] = max(0, self._under_way.get(rank, 0) - 1)
 
-    def seen(self, rank: int, now_s: float) -> None:
+    def mark_active(self, rank: int, now_s: float) -> None:
         """Note that until now a model read there."""
-        if rank != NO_READING:
+        if rank != NO_PREFILL:
             self._until_s[rank] = now_s
 
-    def under_way(self) -> int:
-        """Return the largest rank that reads now, or `NO_READING`."""
-        return max((rank for rank, count in self._under_way.items() if count), default=NO_READING)
+    def largest_active(self) -> int:
+        """Return the largest rank that reads now, or `NO_PREFILL`."""
+        return max((rank for rank, count in self._under_way.items() if count), default=NO_PREFILL)
 
-    def largest(self, since_s: float) -> int:
-        """Return the largest rank that has read since a time, or `NO_READING`."""
+    def largest_since(self, since_s: float) -> int:
+        """Return the largest rank that has read since a time, or `NO_PREFILL`."""
         late = [rank for rank, until_s in self._until_s.items() if until_s > since_s]
-        return max([*late, self.under_way()])
+        return max([*late, self.largest_active()])
--- a/umberhitch/core/direct/_request_key.py
+++ b/umberhitch/core/direct/_request_key.py
@@ -2,14 +2,14 @@
 
 from xxhash import xxh3_64_hexdigest, xxh3_64_intdigest
 
-from umberhitch.core.direct._types import Ask, Customer
+from umberhitch.core.direct._types import CallerRequest, Customer
 
 __all__ = ["request_key"]
 
 HEX_DIGITS = 16
 
 
-def request_key(ask: Ask, customer: Customer | None) -> str:
+def request_key(ask: CallerRequest, customer: Customer | None) -> str:
     """Return what names a request when it comes again: its customer, path and body.
 
     The first half is the customer's alone. So no customer can make a request that has the key of
--- a/umberhitch/core/direct/_routes.py
+++ b/umberhitch/core/direct/_routes.py
@@ -37,6 +37,6 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def customer(self, key: str | None) -> Customer | None:
+    def find_customer(self, key: str | None) -> Customer | None:
         """Return who holds the key, or None."""
         return None if key is None else self.document.customers.get(key_digest(key))
--- a/umberhitch/core/direct/_signals.py
+++ b/umberhitch/core/direct/_signals.py
@@ -11,8 +11,8 @@
 class SignalKind(StrEnum):
     """What an endpoint may say of itself that binds routers."""
 
-    LEAVING = "leaving"
-    REST = "rest"
+    DRAINING = "leaving"
+    BACKOFF = "rest"
     LIMIT = "limit"
     COLD = "cold"
 
@@ -49,5 +49,5 @@
     backoff_s: float | None = None
     limit: Rate = Rate()
     load: ReportedLoad | None = None
-    unclear: tuple[str, ...] = ()
+    malformed: tuple[str, ...] = ()
     unknown: tuple[tuple[bytes, bytes], ...] = ()
--- a/umberhitch/core/direct/_types.py
+++ b/umberhitch/core/direct/_types.py
@@ -6,7 +6,7 @@
 from umberhitch.core.direct._signals import HeadSignals
 
 __all__ = [
-    "Ask",
+    "CallerRequest",
     "Customer",
     "Document",
     "EndpointEntry",
@@ -203,7 +203,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class CallerRequest:
     """One caller's request, decoded.
 
     Attributes
@@ -233,7 +233,7 @@
     picks_model: bool = False
     prompt: tuple[PromptPart, ...] = ()
     output_tokens: int = 0
-    last_event: bytes | None = None
+    last_event_id: bytes | None = None
     session: str | None = None
     body: bytes = b""
 
@@ -268,7 +268,7 @@
     call_id: str | None = None
     is_signed: bool = False
     not_run: bool = False
-    is_elsewhere: bool = False
+    is_wrong_incarnation: bool = False
     confidence: int | None = None
     signals: HeadSignals = HeadSignals()
 
--- a/umberhitch/core/direct/tests/test_named_limits.py
+++ b/umberhitch/core/direct/tests/test_advertised_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from umberhitch.core.direct import FleetBound, FleetShare, LimitChange, LimitRules, NamedLimits
+from umberhitch.core.direct import AdvertisedLimits, FleetBound, FleetShare, LimitChange, LimitRules
 
 RULES = LimitRules()
 RATES = (0.0, 0.3, 0.45, 0.7, 1.6, 2.3, 10.0, 60.0, 300.0)
@@ -21,9 +21,9 @@
 
 def _share(name: str, names: list[str], is_settled: bool = True) -> FleetShare:
     share = FleetShare(name)
-    share.take_routers(names)
-    share.look(True, 0.0)
-    share.look(is_settled, 0.0)
+    share.set_routers(names)
+    share.update_registration(True, 0.0)
+    share.update_registration(is_settled, 0.0)
     return share
 
 
@@ -53,7 +53,7 @@
 def test_of_what_an_endpoint_takes_four_fifths_are_used_and_no_more_than_all(rate, routers):
     bound = RULES.bound(rate)
     names = _names(routers)
-    shares = [share for name in names if (share := _share(name, names)).most("e1", bound)]
+    shares = [share for name in names if (share := _share(name, names)).quota("e1", bound)]
     times = _sends(shares, bound, 24.0)
     assert _most_within(times, RULES.span_s) <= bound.rate * RULES.span_s + 1
     wanted = min(bound.rate, 50.0 * len(shares)) * 24.0  # as often as is looked
@@ -75,16 +75,16 @@
     old = [f"r{each}" for each in sorted(other)]
     shares = [_share(name, new) for name in new] + [_share(name, old, False) for name in old]
     for share in shares:
-        share.look(share.is_settled, 0.0)
+        share.update_registration(share.is_registered, 0.0)
     times = _sends(shares, bound, 9.0, f"e{seed}")
-    assert _most_within(times, RULES.span_s) <= bound.most
+    assert _most_within(times, RULES.span_s) <= bound.max_requests
 
 
 def test_a_share_counts_as_used_when_a_limit_is_first_heard():
     """What was sent before is under way, and nobody counted it."""
     share, bound = _share("r1", ["r1"]), RULES.bound(2.0)
     share.assume_used("e1", bound, 10.0)
-    assert share.used("e1", bound, 10.0) == share.most("e1", bound)
+    assert share.used("e1", bound, 10.0) == share.quota("e1", bound)
     assert 0.0 < share.wait_s("e1", bound, 10.0) <= 0.5
 
 
@@ -103,78 +103,78 @@
 
 def test_a_router_that_stood_still_has_no_list_until_it_has_its_seat():
     share, bound = _share("r1", ["r1"]), RULES.bound(2.0)
-    share.look(True, 1.0)
-    assert share.knows_list(3.0)
-    assert not share.knows_list(4.0)
-    share.look(False, 9.0)
-    assert not share.knows_list(9.0)
-    share.look(True, 10.0)
-    assert share.knows_list(10.0)
+    share.update_registration(True, 1.0)
+    assert share.has_router_list(3.0)
+    assert not share.has_router_list(4.0)
+    share.update_registration(False, 9.0)
+    assert not share.has_router_list(9.0)
+    share.update_registration(True, 10.0)
+    assert share.has_router_list(10.0)
     assert share.wait_s("e1", bound, 10.0) == 0.0
 
 
 def test_a_router_without_a_seat_goes_by_its_last_list_for_a_minute_with_less():
     share, bound = _share("r1", ["r1"]), RULES.bound(10.0)
-    whole = share.most("e1", bound)
+    whole = share.quota("e1", bound)
     for second in range(60):
-        share.look(False, float(second))
-    share.take_routers(["r1", "r2", "r3"])
-    share.look(False, 60.0)
-    assert share.knows_list(60.0)
-    assert share.routers == 1
-    assert 0.5 * whole <= share.most("e1", bound) <= 0.6 * whole
-    share.look(False, 60.5)
-    assert not share.knows_list(60.5)
+        share.update_registration(False, float(second))
+    share.set_routers(["r1", "r2", "r3"])
+    share.update_registration(False, 60.0)
+    assert share.has_router_list(60.0)
+    assert share.router_count == 1
+    assert 0.5 * whole <= share.quota("e1", bound) <= 0.6 * whole
+    share.update_registration(False, 60.5)
+    assert not share.has_router_list(60.5)
 
 
 # What is known
 
 
 def test_an_answer_that_names_none_ends_it():
-    limits = NamedLimits()
-    assert limits.heard("e1", 2.0, 1.0) is LimitChange.BEGUN
-    assert limits.heard("e1", 2.0, 2.0) is LimitChange.NONE
-    assert limits.heard("e1", 1.0, 2.5) is LimitChange.FALLEN
-    assert limits.heard("e1", 3.0, 2.6) is LimitChange.NONE
-    assert limits.heard("e1", None, 3.0) is LimitChange.ENDED
-    assert limits.heard("e1", None, 3.5) is LimitChange.NONE
+    limits = AdvertisedLimits()
+    assert limits.apply_answer("e1", 2.0, 1.0) is LimitChange.STARTED
+    assert limits.apply_answer("e1", 2.0, 2.0) is LimitChange.NONE
+    assert limits.apply_answer("e1", 1.0, 2.5) is LimitChange.LOWERED
+    assert limits.apply_answer("e1", 3.0, 2.6) is LimitChange.NONE
+    assert limits.apply_answer("e1", None, 3.0) is LimitChange.ENDED
+    assert limits.apply_answer("e1", None, 3.5) is LimitChange.NONE
     assert len(limits) == 0
 
 
 def test_a_peer_s_newer_word_wins_and_an_older_one_changes_nothing():
-    limits = NamedLimits()
-    limits.told("e1", 2.0, 1.0, "r2", 10.0)
-    limits.told("e1", 5.0, 3.0, "r3", 10.0)
+    limits = AdvertisedLimits()
+    limits.apply_notice("e1", 2.0, 1.0, "r2", 10.0)
+    limits.apply_notice("e1", 5.0, 3.0, "r3", 10.0)
     assert limits.get("e1").rate == 2.0
-    limits.told("e1", 4.0, 0.5, "r3", 10.0)
+    limits.apply_notice("e1", 4.0, 0.5, "r3", 10.0)
     assert (limits.get("e1").rate, limits.get("e1").source) == (4.0, "r3")
 
 
 def test_a_late_word_does_not_bring_back_what_has_ended():
-    limits = NamedLimits()
-    limits.heard("e1", 2.0, 1.0)
-    limits.heard("e1", None, 5.0)
-    assert limits.told("e1", 2.0, 3.0, "r2", 6.0) is LimitChange.NONE
-    assert limits.told("e1", 2.0, 0.1, "r2", 6.0) is LimitChange.BEGUN
+    limits = AdvertisedLimits()
+    limits.apply_answer("e1", 2.0, 1.0)
+    limits.apply_answer("e1", None, 5.0)
+    assert limits.apply_notice("e1", 2.0, 3.0, "r2", 6.0) is LimitChange.NONE
+    assert limits.apply_notice("e1", 2.0, 0.1, "r2", 6.0) is LimitChange.STARTED
 
 
 def test_a_word_that_it_is_over_counts_only_if_it_is_surely_newer():
-    limits = NamedLimits()
-    limits.heard("e1", 2.0, 10.0)
-    assert limits.told_over("e1", 0.0, 10.4) is LimitChange.NONE
-    assert limits.told_over("e1", 0.0, 10.6) is LimitChange.ENDED
+    limits = AdvertisedLimits()
+    limits.apply_answer("e1", 2.0, 10.0)
+    assert limits.apply_end_notice("e1", 0.0, 10.4) is LimitChange.NONE
+    assert limits.apply_end_notice("e1", 0.0, 10.6) is LimitChange.ENDED
 
 
 @given(st.lists(st.tuples(st.floats(0, 30), st.booleans()), min_size=1, max_size=12), st.data())
 def test_whatever_the_order_peers_end_up_with_the_newest_word(words, data):
     """Words as (time, whether a rate is named), told in any order; ages are true."""
     now_s = 40.0
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     for at_s, is_named in data.draw(st.permutations(words)):
         if is_named:
-            limits.told("e1", 2.0, now_s - at_s, "r2", now_s)
+            limits.apply_notice("e1", 2.0, now_s - at_s, "r2", now_s)
         else:
-            limits.told_over("e1", now_s - at_s, now_s)
+            limits.apply_end_notice("e1", now_s - at_s, now_s)
     named = [at_s for at_s, is_named in words if is_named]
     if not named:
         assert limits.get("e1") is None
@@ -183,13 +183,13 @@
 
 
 def test_one_that_may_not_send_looks_for_itself_after_a_minute_and_not_with_all_others():
-    limits = NamedLimits()
-    limits.heard("e1", 2.0, 0.0)
+    limits = AdvertisedLimits()
+    limits.apply_answer("e1", 2.0, 0.0)
     limit = limits.get("e1")
-    assert not limits.may_look(limit, 6, 0.0, 59.0)
-    assert limits.may_look(limit, 6, 0.0, 61.0)
-    assert not limits.may_look(limit, 6, 0.5, 61.0)
-    assert not limits.may_look(limit, 370, 0.0, 739.0)
+    assert not limits.may_recheck(limit, 6, 0.0, 59.0)
+    assert limits.may_recheck(limit, 6, 0.0, 61.0)
+    assert not limits.may_recheck(limit, 6, 0.5, 61.0)
+    assert not limits.may_recheck(limit, 370, 0.0, 739.0)
     rng, looks = Random(1), []
     for _ in range(370):
         jitter = rng.random()
@@ -205,17 +205,17 @@
     for second in range(20, 30):
         for _ in range(100):
             share.note_sent("e1", float(second))
-    assert len(share._sent["e1"]) <= 1000
+    assert len(share._send_times["e1"]) <= 1000
 
 
 def test_nothing_is_kept_of_lifetimes_that_are_gone():
-    limits = NamedLimits()
-    limits.heard("e1", 2.0, 0.0)
-    limits.heard("e2", 2.0, 0.0)
-    limits.heard("e2", None, 1.0)
+    limits = AdvertisedLimits()
+    limits.apply_answer("e1", 2.0, 0.0)
+    limits.apply_answer("e2", 2.0, 0.0)
+    limits.apply_answer("e2", None, 1.0)
     limits.forget(["e3"])
     assert len(limits) == 0
-    assert limits.ended(1.0) == {}
+    assert limits.recently_ended(1.0) == {}
 
 
 def test_a_router_without_a_list_sends_nothing():
--- a/umberhitch/core/direct/tests/test_cascade.py
+++ b/umberhitch/core/direct/tests/test_cascade.py
@@ -3,14 +3,14 @@
 import pytest
 
 from umberhitch.core.direct import (
-    Ask,
+    AnswerValueLimits,
+    CallerRequest,
+    Candidate,
     Cascade,
     Endpoint,
-    Offer,
     PromptPart,
     RouteKind,
-    WorthLimits,
-    make_stake,
+    make_answer_value,
 )
 from umberhitch.testing import make_endpoint_entry, make_route
 
@@ -21,24 +21,27 @@
 PRICES = {"small": 0.02, "large": 0.35}
 
 
-def make_ask(read: int = 800, made: int = 300) -> Ask:
+def make_ask(read: int = 800, made: int = 300) -> CallerRequest:
     parts = (PromptPart("p", read),)
-    return Ask("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, made)
+    return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, made)
 
 
 def choose(
-    confidence: int | None, wait_s: float = 0.1, ask: Ask | None = None, delay_cost: float = 0.0
+    confidence: int | None,
+    wait_s: float = 0.1,
+    ask: CallerRequest | None = None,
+    delay_cost: float = 0.0,
 ) -> str | None:
     ask = ask or make_ask()
-    stake = make_stake(ROUTE, ask, WorthLimits())
-    offer = Offer(ENDPOINT, wait_s, delay_cost)
+    stake = make_answer_value(ROUTE, ask, AnswerValueLimits())
+    offer = Candidate(ENDPOINT, wait_s, delay_cost)
     return Cascade().next_model(ROUTE, ask, stake, "small", confidence, PRICES, 0.05, offer)
 
 
 def test_the_smallest_model_is_asked_first_where_there_are_attempts_for_another():
-    assert Cascade().first(ROUTE, make_ask()) == "small"
+    assert Cascade().first_model(ROUTE, make_ask()) == "small"
     single = make_route("draft", RouteKind.STREAM, models=("small", "large"), max_attempts=1)
-    assert Cascade().first(single, make_ask()) == "large"
+    assert Cascade().first_model(single, make_ask()) == "large"
 
 
 @pytest.mark.parametrize(
@@ -61,8 +64,8 @@
 
 
 def test_the_largest_models_answer_is_kept():
-    stake = make_stake(ROUTE, make_ask(), WorthLimits())
-    offer = Offer(ENDPOINT, 0.1)
+    stake = make_answer_value(ROUTE, make_ask(), AnswerValueLimits())
+    offer = Candidate(ENDPOINT, 0.1)
     assert Cascade().next_model(ROUTE, make_ask(), stake, "large", 0, PRICES, 0.1, offer) is None
 
 
--- a/umberhitch/core/direct/tests/test_change.py
+++ b/umberhitch/core/direct/tests/test_change.py
@@ -14,7 +14,7 @@
     RouteTable,
     Service,
     apply_change,
-    change_between,
+    diff_documents,
 )
 
 HOSTS = ("a.example", "A.example", "b.example")
@@ -46,7 +46,7 @@
 
 @given(documents, documents)
 def test_a_change_makes_the_other_document(old, new):
-    made = apply_change(old, change_between(old, new))
+    made = apply_change(old, diff_documents(old, new))
     assert made is not None
     assert _found(made) == _found(new)
     assert replace(made, routes=()) == replace(new, routes=())
@@ -55,4 +55,4 @@
 @given(documents, documents)
 def test_a_change_goes_with_its_own_base_only(old, new):
     other = replace(old, number=old.number + 1)
-    assert apply_change(other, change_between(old, new)) is None
+    assert apply_change(other, diff_documents(old, new)) is None
--- a/umberhitch/core/direct/tests/test_cold.py
+++ b/umberhitch/core/direct/tests/test_cold.py
@@ -26,8 +26,8 @@
 def _share(name: str, names: list[str]) -> FleetShare:
     """Return a router that has its seat on a list."""
     share = FleetShare(name)
-    share.take_routers(names)
-    share.look(True, 0.0)
+    share.set_routers(names)
+    share.update_registration(True, 0.0)
     return share
 
 
@@ -82,7 +82,7 @@
 def test_half_of_what_is_borne_is_used_at_least(rate, routers):
     shares = _shares([_names(routers)])
     sent = _send_all(shares, _endpoint(), rate, 0.0)
-    assert sent >= min(rate, shares[0].total(LIMITS.bound(rate))) / 2
+    assert sent >= min(rate, shares[0].total_quota(LIMITS.bound(rate))) / 2
 
 
 def test_many_changes_of_the_list_at_once_stay_within_the_bound_mostly():
@@ -140,7 +140,7 @@
     endpoint = _endpoint()
     _send_all([share], endpoint, RATE, 0.0)
     share.forget([])
-    assert not share._sent
+    assert not share._send_times
     assert not share._ranks
 
 
@@ -150,7 +150,7 @@
 def _directory(cold_start_s: float = 3.0) -> Directory:
     directory = Directory()
     directory.is_loaded = True
-    directory.take_cold_starts({"svc": cold_start_s})
+    directory.set_cold_starts({"svc": cold_start_s})
     return directory
 
 
@@ -199,8 +199,8 @@
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=0.0), 5.0)
     endpoint = directory.get("e1")
-    endpoint.failed(6.0, is_ended=True)
-    directory.answered(endpoint, 9.0)
+    endpoint.note_failure(6.0, has_exited=True)
+    directory.note_answer(endpoint, 9.0)
     assert endpoint.is_cold(11.9)
     assert endpoint.cold_source == "its process had ended"
 
@@ -209,14 +209,14 @@
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=0.0), 5.0)
     endpoint = directory.get("e1")
-    endpoint.failed(6.0)
-    directory.answered(endpoint, 9.0)
+    endpoint.note_failure(6.0)
+    directory.note_answer(endpoint, 9.0)
     assert not endpoint.is_cold(9.0)
 
 
 def test_where_no_endpoint_is_ever_cold_none_is_taken_for_it():
     directory = _directory(0.0)
     directory.put(make_endpoint_entry("e1"), 5.0)
-    directory.zone_out("a", 5.0)
-    directory.zone_back("a", 6.0)
-    assert directory.cold(6.0) == []
+    directory.disable_zone("a", 5.0)
+    directory.enable_zone("a", 6.0)
+    assert directory.cold_endpoints(6.0) == []
--- a/umberhitch/core/direct/tests/test_crash_record.py
+++ b/umberhitch/core/direct/tests/test_crash_record.py
@@ -38,7 +38,7 @@
 
 def test_a_run_that_ends_frees_of_the_blame_of_all_that_began_before():
     record = _held()
-    assert record.note_end(KEY, 12.0)
+    assert record.note_run_end(KEY, 12.0)
     assert not record.is_suspect(KEY)
     assert not record.note_crash(KEY, _crash(7, began_s=11.0))
     assert record.note_crash(KEY, _crash(8, began_s=13.0))
@@ -72,7 +72,7 @@
     record = CrashRecord()
     for what, number, at in words:
         if what == "end":
-            record.note_end(KEY, float(at))
+            record.note_run_end(KEY, float(at))
         else:
             record.note_crash(KEY, Crash(f"e{number}.{at}", "svc/v1", float(at), at + 0.1))
     return sorted(each.lifetime for each in record.crashes(KEY))
@@ -93,7 +93,7 @@
         untils.append(round(hold.until_s, 1))
         record.note_probe(KEY, "svc/v1", probes, hold.until_s, hold.until_s + 5.0)
         assert record.hold(KEY, 0.0).until_s >= hold.until_s + 5.0, "one under way"
-        record.note_probe_over(KEY)
+        record.note_probe_end(KEY)
     gaps = [round(later - sooner) for sooner, later in pairwise(untils)]
     assert gaps == [10, 600, 1200, 2400]
     assert untils[0] == 11.1
@@ -110,7 +110,7 @@
 
 
 def test_a_customer_with_many_bodies_takes_no_others_place():
-    record = CrashRecord(CrashLimits(kept_requests=20, kept_of_customer=8))
+    record = CrashRecord(CrashLimits(max_requests=20, max_requests_per_customer=8))
     for number in range(3):
         record.note_crash(OTHER, _crash(number))
     for number in range(1000):
@@ -120,7 +120,7 @@
 
 
 def test_many_customers_are_bounded_too_and_the_strongest_evidence_stays():
-    record = _held(CrashLimits(kept_requests=20, kept_of_customer=8))
+    record = _held(CrashLimits(max_requests=20, max_requests_per_customer=8))
     for number in range(1000):
         record.note_crash(f"{number:016x}" + "a" * 16, _crash(number))
     assert len(record) == 20
@@ -128,11 +128,11 @@
 
 
 def test_ends_are_remembered_within_a_bound():
-    record = CrashRecord(CrashLimits(kept_ends=10))
+    record = CrashRecord(CrashLimits(max_run_ends=10))
     for number in range(1000):
-        record.note_end(f"{number:032x}", float(number))
-    assert len(record._ends) == 10
-    assert record.ended_s(f"{999:032x}") == 999.0
+        record.note_run_end(f"{number:032x}", float(number))
+    assert len(record._run_ends) == 10
+    assert record.last_run_end_s(f"{999:032x}") == 999.0
 
 
 def test_what_is_long_past_is_forgotten():
--- a/umberhitch/core/direct/tests/test_lifetimes.py
+++ b/umberhitch/core/direct/tests/test_lifetimes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from umberhitch.core.direct import Directory, EndpointState
-from umberhitch.core.direct._directory import DOUBT_S, RETURN_S
+from umberhitch.core.direct._directory import LAPSED_KEPT_S, STALE_ENTRY_S
 from umberhitch.testing import make_endpoint_entry
 
 
@@ -21,13 +21,13 @@
 def test_a_new_lifetime_knows_nothing_of_the_bans_of_the_one_before():
     directory = _directory(1000)
     before = directory.get("e1")
-    before.failed(0.0)
+    before.note_failure(0.0)
     ended = directory.put(make_endpoint_entry("e1", born=2000), 0.1)
     assert ended is before
     after = directory.get("e1")
-    assert after.takes_work(0.1)
-    before.failed(0.2)  # a call to the one before ends late
-    assert after.takes_work(0.2)
+    assert after.accepts_work(0.1)
+    before.note_failure(0.2)  # a call to the one before ends late
+    assert after.accepts_work(0.2)
     assert directory.of_lifetime(before.lifetime) is None
     assert directory.of_lifetime(after.lifetime) is after
 
@@ -60,7 +60,7 @@
     directory = _directory(1000, 7)
     directory.put(make_endpoint_entry("e1", born=1000), 1.0)
     directory.put(make_endpoint_entry("e1", born=1000), 2.2)
-    assert [each.lifetime for each in directory.sweep(1.0 + DOUBT_S)] == ["e1@7"]
+    assert [each.lifetime for each in directory.sweep(1.0 + STALE_ENTRY_S)] == ["e1@7"]
     assert _born(directory) == 1000
 
 
@@ -79,7 +79,7 @@
     assert directory.get("e1") is known
     directory.lapse("e1", 1.0, None)
     directory.put(make_endpoint_entry("e1", born=2000), 1.5)
-    directory.sweep(1.0 + RETURN_S)
+    directory.sweep(1.0 + LAPSED_KEPT_S)
     assert _born(directory) == 2000
 
 
@@ -88,8 +88,8 @@
     for number in range(20):
         directory.put(make_endpoint_entry(f"e{number}", born=1), 0.0)
     parts = [f"p{number}" for number in range(100)]
-    before = {part: directory.home("svc", part).entry.incarnation for part in parts}
+    before = {part: directory.affinity_endpoint("svc", part).entry.incarnation for part in parts}
     directory.put(make_endpoint_entry("e3", born=2), 0.1)
-    homes = {part: directory.home("svc", part) for part in parts}
+    homes = {part: directory.affinity_endpoint("svc", part) for part in parts}
     assert {part: home.entry.incarnation for part, home in homes.items()} == before
     assert all(home is directory.get(home.entry.incarnation) for home in homes.values())
--- a/umberhitch/core/direct/tests/test_placement.py
+++ b/umberhitch/core/direct/tests/test_placement.py
@@ -3,18 +3,18 @@
 from dataclasses import replace
 
 from umberhitch.core.direct import (
-    Ask,
+    AnswerValueLimits,
+    CallerRequest,
     Directory,
     Endpoint,
+    EngineCall,
     EnginePrice,
-    EngineWork,
     Placement,
     PromptPart,
     ReportedLoad,
     RouteKind,
     Service,
-    WorthLimits,
-    make_stake,
+    make_answer_value,
 )
 from umberhitch.testing import make_endpoint_entry, make_route
 
@@ -25,30 +25,30 @@
 ENDPOINTS = [Endpoint(make_endpoint_entry(f"e{number}")) for number in range(8)]
 
 
-def make_ask(subject: str = "s", shared: int = 4000, own: int = 500) -> Ask:
+def make_ask(subject: str = "s", shared: int = 4000, own: int = 500) -> CallerRequest:
     parts = (PromptPart(subject, shared), PromptPart("own", own))
-    return Ask("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, 100)
+    return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, 100)
 
 
-def make_plain() -> Ask:
-    return Ask("a", b"POST", b"/", "h", "/", [], None, 10.0)
+def make_plain() -> CallerRequest:
+    return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0)
 
 
 def choose(
-    placement: Placement, ask: Ask, now_s: float = 0.0, price: EnginePrice = PRICE
+    placement: Placement, ask: CallerRequest, now_s: float = 0.0, price: EnginePrice = PRICE
 ) -> Endpoint:
     if not ask.prompt:
         return placement.choose_plain(ENDPOINTS, now_s).endpoint
-    stake = make_stake(ROUTE, ask, WorthLimits())
-    work = EngineWork(ask, "large", MODELS, stake, price, home_of(ask))
+    stake = make_answer_value(ROUTE, ask, AnswerValueLimits())
+    work = EngineCall(ask, "large", MODELS, stake, price, home_of(ask))
     return placement.choose_engine(ENDPOINTS, work, now_s).endpoint
 
 
-def home_of(ask: Ask) -> Endpoint:
+def home_of(ask: CallerRequest) -> Endpoint:
     directory = Directory()
     for endpoint in ENDPOINTS:
         directory.put(endpoint.entry, 0.0)
-    home = directory.home("svc", ask.prompt[-2].part_id)
+    home = directory.affinity_endpoint("svc", ask.prompt[-2].part_id)
     return next(each for each in ENDPOINTS if each.entry == home.entry)
 
 
@@ -95,7 +95,9 @@
         ask = make_ask(shared=shared)
         ask.body = b"x" * 4500
         placement.release(placement.place(far[0], ask, "large", MODELS, SERVICE, 0.0), False)
-        work = EngineWork(ask, "large", MODELS, make_stake(ROUTE, ask, WorthLimits()), PRICE)
+        work = EngineCall(
+            ask, "large", MODELS, make_answer_value(ROUTE, ask, AnswerValueLimits()), PRICE
+        )
         chosen.append(placement.choose_engine(endpoints, work, 0.0).endpoint)
     assert chosen == [ENDPOINTS[0], far[0]]
 
@@ -103,7 +105,7 @@
 def test_what_peers_have_under_way_counts():
     placement = Placement("a")
     home = choose(placement, make_ask())
-    placement.others(home.entry.incarnation, 20, 3.0, -1, 0.0)
+    placement.update_peer_load(home.entry.incarnation, 20, 3.0, -1, 0.0)
     assert choose(placement, make_ask()) is not home
 
 
@@ -122,9 +124,9 @@
 
 def test_a_reported_load_counts_less_as_it_ages():
     placement = Placement("a")
-    placement.report("e0", ReportedLoad(8, 20, 8), 0.0)
+    placement.update_reported_load("e0", ReportedLoad(8, 20, 8), 0.0)
     endpoints = ENDPOINTS[:2]
-    placement.others("e1", 3, 0.0, -1, 0.0)
+    placement.update_peer_load("e1", 3, 0.0, -1, 0.0)
     fresh = placement.choose_plain(endpoints, 0.0).endpoint
     stale = placement.choose_plain(endpoints, 60.0).endpoint
     assert [each.entry.incarnation for each in (fresh, stale)] == ["e1", "e0"]
@@ -134,8 +136,8 @@
     placement = Placement("a")
     placed = [placement.place(ENDPOINTS[0], make_ask(), "large", MODELS, SERVICE, 0.0)]
     placed.append(placement.place(ENDPOINTS[0], make_ask("y"), "large", MODELS, SERVICE, 0.0))
-    placement.began(placed[0], 0.2)
+    placement.note_reply_started(placed[0], 0.2)
     for each in placed:
         placement.release(each, None)
-    assert placement.own() == {}
-    assert placement.running("e0") == 0
+    assert placement.own_load() == {}
+    assert placement.running_calls("e0") == 0
--- a/umberhitch/core/direct/tests/test_reading_pace.py
+++ b/umberhitch/core/direct/tests/test_prefill_speed.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from umberhitch.core.direct._reading_pace import ReadingPace
+from umberhitch.core.direct._prefill_speed import PrefillSpeed
 
 TOKEN_S = 7.9e-6
 ASSUMED_S = 5e-6
 
 
 def learn(hidden_queue: float, hidden_cache: float, samples: int = 60) -> float:
-    rng, pace = Random(5), ReadingPace()
+    rng, pace = Random(5), PrefillSpeed()
     for _ in range(samples):
         tokens = int(rng.lognormvariate(8.0, 1.0))
         read = tokens * (0.2 if rng.random() < hidden_cache else 1.0)
         queue_s = rng.expovariate(2.0) if rng.random() < hidden_queue else 0.0
-        pace.note("m", tokens, 0.025 + queue_s + read * TOKEN_S, 0.0, ASSUMED_S)
+        pace.add_sample("m", tokens, 0.025 + queue_s + read * TOKEN_S, 0.0, ASSUMED_S)
     found = pace.token_s("m")
     assert found is not None
     return found
@@ -37,12 +37,12 @@
 
 
 def test_one_sample_behind_a_long_queue_does_not_make_a_model_slow():
-    pace = ReadingPace()
-    pace.note("m", 700, 1.0, 0.0, ASSUMED_S)
+    pace = PrefillSpeed()
+    pace.add_sample("m", 700, 1.0, 0.0, ASSUMED_S)
     assert pace.token_s("m") == ASSUMED_S
 
 
 def test_short_prompts_say_nothing():
-    pace = ReadingPace()
-    pace.note("m", 100, 0.5, 0.0, ASSUMED_S)
+    pace = PrefillSpeed()
+    pace.add_sample("m", 100, 0.5, 0.0, ASSUMED_S)
     assert pace.token_s("m") is None
--- a/umberhitch/core/direct/tests/test_readings.py
+++ b/umberhitch/core/direct/tests/test_prefills.py
@@ -13,30 +13,30 @@
 import pytest
 
 from umberhitch.core.direct import (
-    NO_READING,
-    Ask,
+    NO_PREFILL,
+    ActivePrefills,
+    CallerRequest,
     Endpoint,
-    EvidenceBar,
-    Paces,
+    EvidenceThreshold,
     Placement,
     PromptPart,
-    Readings,
+    TokenLatencies,
 )
 from umberhitch.testing import make_endpoint_entry
 
-GAP_S = {NO_READING: 0.006, 0: 0.03, 2: 0.25}
+GAP_S = {NO_PREFILL: 0.006, 0: 0.03, 2: 0.25}
 ENDPOINT = Endpoint(make_endpoint_entry("e0"))
 MODELS = ("small", "middle", "large")
 
 
-def make_ask(tokens: int) -> Ask:
+def make_ask(tokens: int) -> CallerRequest:
     parts = (PromptPart("own", tokens),)
-    return Ask("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, 100)
+    return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, 100)
 
 
 def count_slow(slowness: float, is_conditioned: bool) -> tuple[int, int, int, int]:
     """Return slow and judged answers of a new version and of the old one."""
-    rng, paces = Random(3), Paces()
+    rng, paces = Random(3), TokenLatencies()
     slow = {True: 0, False: 0}
     judged = {True: 0, False: 0}
     for number in range(600):
@@ -56,9 +56,9 @@
 
 @pytest.mark.parametrize("slowness", [4.0, 8.0])
 def test_a_slow_version_is_told_by_what_is_read_beside_it(slowness):
-    bar = EvidenceBar(least=4, rate=0.3, usual_rate=0.1, deviations=6.0)
-    assert bar.is_over(*count_slow(slowness, True), 3)
-    assert not bar.is_over(*count_slow(slowness, False), 3)
+    bar = EvidenceThreshold(min_count=4, rate=0.3, max_assumed_rate=0.1, deviations=6.0)
+    assert bar.is_exceeded(*count_slow(slowness, True), 3)
+    assert not bar.is_exceeded(*count_slow(slowness, False), 3)
 
 
 def test_a_good_version_is_not_slow_for_what_is_read_beside_it():
@@ -71,29 +71,29 @@
     placement = Placement("a")
     reading = placement.place(ENDPOINT, make_ask(50_000), "large", MODELS, None, 0.0)
     short = placement.place(ENDPOINT, make_ask(100), "small", MODELS, None, 0.0)
-    assert placement.read_rank("e0", 0.5) == 2
-    placement.began(reading, 1.0)
-    assert placement.read_rank("e0", 0.5) == 2
-    assert placement.read_rank("e0", 1.0) == NO_READING
+    assert placement.largest_prefill_rank("e0", 0.5) == 2
+    placement.note_reply_started(reading, 1.0)
+    assert placement.largest_prefill_rank("e0", 0.5) == 2
+    assert placement.largest_prefill_rank("e0", 1.0) == NO_PREFILL
     placement.release(reading, None)
     placement.release(short, None)
-    assert placement.own() == {}
+    assert placement.own_load() == {}
 
 
 def test_what_peers_read_counts_until_it_was_heard_last():
     placement = Placement("a")
-    placement.others("e0", 3, 0.5, 1, 2.0)
-    placement.others("e0", 3, 0.0, NO_READING, 2.25)
-    assert placement.read_rank("e0", 1.9) == 1
-    assert placement.read_rank("e0", 2.1) == NO_READING
-    assert placement.read_rank("never seen", 0.0) == NO_READING
+    placement.update_peer_load("e0", 3, 0.5, 1, 2.0)
+    placement.update_peer_load("e0", 3, 0.0, NO_PREFILL, 2.25)
+    assert placement.largest_prefill_rank("e0", 1.9) == 1
+    assert placement.largest_prefill_rank("e0", 2.1) == NO_PREFILL
+    assert placement.largest_prefill_rank("never seen", 0.0) == NO_PREFILL
 
 
 def test_a_reading_that_is_dropped_is_under_way_no_more():
-    readings = Readings()
-    readings.began(2, 1.0)
-    readings.began(0, 1.0)
-    readings.began(1, 0.001)
-    assert readings.under_way() == 2
-    readings.ended(2, 1.0)
-    assert readings.under_way() == 0
+    readings = ActivePrefills()
+    readings.start(2, 1.0)
+    readings.start(0, 1.0)
+    readings.start(1, 0.001)
+    assert readings.largest_active() == 2
+    readings.finish(2, 1.0)
+    assert readings.largest_active() == 0
--- a/umberhitch/core/direct/tests/test_request_key.py
+++ b/umberhitch/core/direct/tests/test_request_key.py
@@ -2,9 +2,11 @@
 
 from dataclasses import replace
 
-from umberhitch.core.direct import Ask, Customer, request_key
+from umberhitch.core.direct import CallerRequest, Customer, request_key
 
-ASK = Ask("q1", b"POST", b"/draft/x?a=1", "models.example", "/draft/x", [], "k", 10.0, body=b"b")
+ASK = CallerRequest(
+    "q1", b"POST", b"/draft/x?a=1", "models.example", "/draft/x", [], "k", 10.0, body=b"b"
+)
 ONE, OTHER = Customer("one"), Customer("other")
 
 
--- a/umberhitch/core/direct/tests/test_budget.py
+++ b/umberhitch/core/direct/tests/test_retry_budget.py
@@ -1,22 +1,22 @@
 """The budget of calls beyond the first, shared by all routers."""
 
-from umberhitch.core.direct import BudgetLimits, RetryBudget
+from umberhitch.core.direct import RetryBudget, RetryBudgetLimits
 
-LIMITS = BudgetLimits(ratio=0.5, slack=60.0, window_s=10.0)
+LIMITS = RetryBudgetLimits(ratio=0.5, slack=60.0, window_s=10.0)
 
 
 def test_a_router_that_does_not_know_the_others_takes_nothing_of_the_slack():
     """Thirty that start together took it thirty times, each as if it were alone."""
     budget = RetryBudget(LIMITS)
-    assert budget.left("svc", 0.0) == 0.0
+    assert budget.remaining("svc", 0.0) == 0.0
     for _ in range(10):
-        budget.request("svc", 0.0)
-    assert budget.left("svc", 0.0) == 0.85 * 5
+        budget.record_request("svc", 0.0)
+    assert budget.remaining("svc", 0.0) == 0.85 * 5
 
 
 def test_routers_that_know_each_other_share_the_slack():
     budgets = [RetryBudget(LIMITS) for _ in range(30)]
     for budget in budgets:
-        budget.routers = 30
-    taken = sum(budget.take("svc", 0.0) for budget in budgets for _ in range(100))
+        budget.router_count = 30
+    taken = sum(budget.acquire("svc", 0.0) for budget in budgets for _ in range(100))
     assert 0 < taken <= 60
--- a/umberhitch/fakes/_direct_callers.py
+++ b/umberhitch/fakes/_direct_callers.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from umberhitch.core.direct import Ask, PromptPart, ReplyHead
+from umberhitch.core.direct import CallerRequest, PromptPart, ReplyHead
 from umberhitch.errors import BadAskError
-from umberhitch.ports.direct import CallExtras, HeaderList, RawRequest
+from umberhitch.ports.direct import CallMetadata, HeaderList, RawRequest
 
 __all__ = ["FakeReply", "FakeWire"]
 
@@ -43,7 +43,7 @@
         assert not self.is_over
         self.is_aborted = True
 
-    def on_pressure(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
+    def set_flow_control(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
         """Keep the calls."""
         self.pause, self.resume = pause, resume
 
@@ -56,7 +56,7 @@
 class FakeWire:
     """A `WirePort` with headers of its own."""
 
-    def read_ask(self, raw: RawRequest) -> Ask:
+    def read_request(self, raw: RawRequest) -> CallerRequest:
         """Decode a request."""
         headers = dict(raw.headers)
         if b"Id" not in headers:
@@ -64,7 +64,7 @@
         session = headers.get(b"Session-Name")
         prompt = headers.get(b"Prompt")
         parts = [item.split(b":") for item in prompt.split(b",")] if prompt else []
-        return Ask(
+        return CallerRequest(
             headers[b"Id"].decode(),
             raw.method,
             raw.target,
@@ -79,16 +79,16 @@
             body=raw.body,
         )
 
-    def call_headers(self, ask: Ask, extras: CallExtras) -> HeaderList:
+    def call_headers(self, req: CallerRequest, metadata: CallMetadata) -> HeaderList:
         """Return all headers of a call."""
-        headers = [(b"Left", f"{extras.deadline_s:.3f}".encode())]
-        headers.append((b"Incarnation", extras.incarnation.encode()))
-        if extras.customer is not None:
-            headers.append((b"Customer", extras.customer.encode()))
-        if extras.model is not None:
-            headers.append((b"Model-Name", extras.model.encode()))
-        if extras.last_event is not None:
-            headers.append((b"Last-Event", extras.last_event))
+        headers = [(b"Left", f"{metadata.deadline_s:.3f}".encode())]
+        headers.append((b"Incarnation", metadata.incarnation.encode()))
+        if metadata.customer is not None:
+            headers.append((b"Customer", metadata.customer.encode()))
+        if metadata.model is not None:
+            headers.append((b"Model-Name", metadata.model.encode()))
+        if metadata.last_event_id is not None:
+            headers.append((b"Last-Event", metadata.last_event_id))
         return headers
 
     def read_reply(self, status: int, headers: HeaderList) -> ReplyHead:
--- a/umberhitch/fakes/_direct_endpoints.py
+++ b/umberhitch/fakes/_direct_endpoints.py
@@ -14,7 +14,7 @@
     CallEvents,
     CallFailure,
     EndpointCall,
-    Listening,
+    ListenerStatus,
 )
 
 CHECK_S = 0.002
@@ -193,7 +193,7 @@
                 self._call.call_id,
                 is_signed=reply.is_signed,
                 not_run=reply.not_run,
-                is_elsewhere=reply.is_elsewhere,
+                is_wrong_incarnation=reply.is_elsewhere,
                 confidence=reply.confidence,
                 signals=self._signals(reply),
             )
@@ -301,14 +301,14 @@
         self.running.append(running)
         return running
 
-    def check(self, address: str, on_found: Callable[[Listening], None]) -> None:
+    def check(self, address: str, on_found: Callable[[ListenerStatus], None]) -> None:
         """Tell whether there is an endpoint."""
         self._clock.callLater(CHECK_S, self._found, address, on_found)
 
-    def _found(self, address: str, on_found: Callable[[Listening], None]) -> None:
+    def _found(self, address: str, on_found: Callable[[ListenerStatus], None]) -> None:
         endpoint = self.by_address.get(address)
         is_there = endpoint is not None and not endpoint.is_down
-        on_found(Listening.YES if is_there else Listening.NO)
+        on_found(ListenerStatus.YES if is_there else ListenerStatus.NO)
 
     def close_idle(self, address: str) -> None:
         """Take note; no connection is kept."""
@@ -325,7 +325,7 @@
     def send(self, address: str, call: EndpointCall, events: CallEvents) -> _FakeCall:
         return self.endpoints.send(address, call, events, self.sender)
 
-    def check(self, address: str, on_found: Callable[[Listening], None]) -> None:
+    def check(self, address: str, on_found: Callable[[ListenerStatus], None]) -> None:
         self.endpoints.check(address, on_found)
 
     def close_idle(self, address: str) -> None:
--- a/umberhitch/fakes/_direct_store.py
+++ b/umberhitch/fakes/_direct_store.py
@@ -80,7 +80,7 @@
         self._faults = faults
         self.calls = 0
 
-    async def newest(self, patience_s: float) -> FeedBatch[Value]:
+    async def newest(self, timeout_s: float) -> FeedBatch[Value]:
         """Return the newest record of every key."""
         await self._reach()
         newest = {record.key: record for record in self._memory.records}
@@ -91,8 +91,8 @@
         self,
         offset: int,
         wait_s: float,
-        patience_s: float,
-        on_begun: Callable[[], None] = do_nothing,
+        timeout_s: float,
+        on_response_start: Callable[[], None] = do_nothing,
     ) -> FeedBatch[Value]:
         """Return records, waiting for the first."""
         await self._reach()
--- a/umberhitch/fakes/_network.py
+++ b/umberhitch/fakes/_network.py
@@ -143,7 +143,7 @@
         self._network = network
         self._held: list[tuple[str, list[Message]]] = []
 
-    def send(self, peer: str, message: Message, is_patient: bool = False) -> None:
+    def send(self, peer: str, message: Message, is_deferrable: bool = False) -> None:
         """Send a message."""
         self._network.carry(self, peer, message)
 
--- a/umberhitch/gateway_node.py
+++ b/umberhitch/gateway_node.py
@@ -15,7 +15,7 @@
 from umberhitch.adapters.stored_holds import HoldsStore
 from umberhitch.adapters.zmq_link import ZmqLink
 from umberhitch.addresses import split_address
-from umberhitch.core.direct import BudgetLimits, ColdLimits, TrialLimits
+from umberhitch.core.direct import CanaryLimits, ColdLimits, RetryBudgetLimits
 from umberhitch.gateway_settings import GatewayFile
 from umberhitch.platform import (
     Members,
@@ -123,7 +123,7 @@
     client = EndpointClient(reactor, wire.read_reply)
     store = StoreClient(client, reactor, settings.store)
     bounds = settings.bounds
-    trial_limits = TrialLimits(
+    trial_limits = CanaryLimits(
         exposure_share=bounds.exposure_share,
         exposure_slack=bounds.exposure_slack,
         session_s=bounds.session_s,
@@ -144,7 +144,7 @@
             drain_s=settings.drain_s,
             drain_notice_s=settings.drain_notice_s,
             good_share=settings.good_share,
-            budget=BudgetLimits(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s),
+            budget=RetryBudgetLimits(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s),
             cold=ColdLimits(bounds.cold_overrun, bounds.cold_slack),
         ),
         reactor,
--- a/umberhitch/platform/_client.py
+++ b/umberhitch/platform/_client.py
@@ -59,7 +59,9 @@
         if method == "POST":
             headers.append((b"Content-Length", str(len(body)).encode()))
             headers.append((b"Content-Type", b"application/json"))
-        call = EndpointCall("", method.encode(), target.encode(), headers, body, is_once=True)
+        call = EndpointCall(
+            "", method.encode(), target.encode(), headers, body, is_non_repeatable=True
+        )
         try:
             fetched = fetch(self._http, self.clock, self._address, call, patience_s, is_wanted)
             head, data = await fetched
--- a/umberhitch/platform/_feed.py
+++ b/umberhitch/platform/_feed.py
@@ -15,7 +15,7 @@
     LogUnavailableError,
 )
 from umberhitch.platform._client import CALL_S, StoreClient, json_of
-from umberhitch.ports.direct import FeedBatch, FeedRecord, OnBegun, do_nothing
+from umberhitch.ports.direct import FeedBatch, FeedRecord, OnResponseStart, do_nothing
 
 __all__ = ["KeyedFeed", "LargeRecords", "append_row", "newest_rows"]
 
@@ -78,10 +78,10 @@
         self._last: int | None = None
         """Offset of the last record, where those before it were left unread."""
 
-    async def newest(self, patience_s: float) -> FeedBatch[Value]:
+    async def newest(self, timeout_s: float) -> FeedBatch[Value]:
         """Return the newest record of every key, and an offset from which nothing is missed."""
-        found = await self._newest_by_last(patience_s)
-        rows, end = found or await newest_rows(self._store, self._topic, patience_s)
+        found = await self._newest_by_last(timeout_s)
+        rows, end = found or await newest_rows(self._store, self._topic, timeout_s)
         records = [self._record(key, value) for key, value in rows]
         return FeedBatch(tuple(filter(None, records)), end)
 
@@ -107,15 +107,19 @@
         return None
 
     async def since(
-        self, offset: int, wait_s: float, patience_s: float, on_begun: OnBegun = do_nothing
+        self,
+        offset: int,
+        wait_s: float,
+        timeout_s: float,
+        on_response_start: OnResponseStart = do_nothing,
     ) -> FeedBatch[Value]:
         """Return the records from an offset on, as soon as there is one or the wait is over."""
-        rows, end = await self._read_from(offset, wait_s, patience_s, on_begun)
+        rows, end = await self._read_from(offset, wait_s, timeout_s, on_response_start)
         records = [self._record(key, value) for key, value in rows]
         return FeedBatch(tuple(filter(None, records)), end)
 
     async def _read_from(
-        self, offset: int, wait_s: float, patience_s: float, on_begun: OnBegun = do_nothing
+        self, offset: int, wait_s: float, patience_s: float, on_begun: OnResponseStart = do_nothing
     ) -> tuple[list[tuple[str, bytes]], int]:
         query = {"topic": self._topic, "part": 0, "from": offset, "maxKb": READ_KB}
         query["waitMs"] = int(wait_s * 1000)
--- a/umberhitch/platform/_headers.py
+++ b/umberhitch/platform/_headers.py
@@ -11,19 +11,19 @@
 
 from umberhitch.adapters.hop_by_hop import pass_on
 from umberhitch.core.direct import (
-    Ask,
+    CallerRequest,
     HeadSignals,
     ReplyHead,
-    read_backoff,
-    read_flag,
-    read_load,
-    read_numbers,
-    read_prompt,
-    read_rate,
+    parse_backoff,
+    parse_flag,
+    parse_ints,
+    parse_load,
+    parse_prompt,
+    parse_rate,
 )
 from umberhitch.errors import BadAskError
 from umberhitch.platform._register import DROPPED_HEADERS, REPLY_HEADERS
-from umberhitch.ports.direct import CallExtras, HeaderList, RawRequest
+from umberhitch.ports.direct import CallMetadata, HeaderList, RawRequest
 
 __all__ = ["PlatformWire"]
 
@@ -47,7 +47,7 @@
     def __init__(self, time_of_day: Callable[[], float] = time) -> None:
         self._time_of_day = time_of_day
 
-    def read_ask(self, raw: RawRequest) -> Ask:
+    def read_request(self, raw: RawRequest) -> CallerRequest:
         """Decode a request.
 
         Raises
@@ -63,9 +63,9 @@
             raise BadAskError(400, "no attempt id")
         host = first.get(b"host", b"").decode("latin-1").partition(":")[0]
         path = raw.target.partition(b"?")[0].decode("latin-1")
-        tokens = read_numbers(first.get(b"token-count"))
+        tokens = parse_ints(first.get(b"token-count"))
         session = first.get(b"session")
-        return Ask(
+        return CallerRequest(
             call_id,
             raw.method,
             raw.target,
@@ -75,32 +75,32 @@
             _key(first.get(b"authorization")),
             _seconds(first.get(b"deadline-ms")),
             picks_model=first.get(b"model") == ANY_MODEL,
-            prompt=read_prompt(first.get(b"prompt-prefix"), tokens[0] if tokens else 0),
+            prompt=parse_prompt(first.get(b"prompt-prefix"), tokens[0] if tokens else 0),
             output_tokens=tokens[1] if len(tokens) > 1 else 0,
-            last_event=first.get(b"last-event-id"),
+            last_event_id=first.get(b"last-event-id"),
             session=None if session is None else session.decode("latin-1"),
             body=raw.body,
         )
 
-    def call_headers(self, ask: Ask, extras: CallExtras) -> HeaderList:
+    def call_headers(self, req: CallerRequest, metadata: CallMetadata) -> HeaderList:
         """Return all headers of a call."""
-        headers = ask.headers
-        if extras.model is not None:
+        headers = req.headers
+        if metadata.model is not None:
             headers = [item for item in headers if item[0].lower() != b"model"]
-            headers.append((b"Model", extras.model.encode("latin-1")))
+            headers.append((b"Model", metadata.model.encode("latin-1")))
         else:
             headers = list(headers)
-        headers.append((b"Deadline-Ms", str(max(1, int(extras.deadline_s * 1000))).encode()))
-        headers.append((b"Expect-Instance", extras.incarnation.encode("latin-1")))
-        if extras.customer is not None:
-            headers.append((b"Tenant", extras.customer.encode("latin-1")))
-        if extras.priority is not None:
-            priority = min(MAX_PRIORITY, max(0, extras.priority))
+        headers.append((b"Deadline-Ms", str(max(1, int(metadata.deadline_s * 1000))).encode()))
+        headers.append((b"Expect-Instance", metadata.incarnation.encode("latin-1")))
+        if metadata.customer is not None:
+            headers.append((b"Tenant", metadata.customer.encode("latin-1")))
+        if metadata.priority is not None:
+            priority = min(MAX_PRIORITY, max(0, metadata.priority))
             headers.append((b"Request-Priority", str(priority).encode()))
-        if extras.last_event is not None:
-            headers.append((b"Last-Event-Id", extras.last_event))
-        if ask.body or ask.method not in (b"GET", b"HEAD"):
-            headers.append((b"Content-Length", str(len(ask.body)).encode()))
+        if metadata.last_event_id is not None:
+            headers.append((b"Last-Event-Id", metadata.last_event_id))
+        if req.body or req.method not in (b"GET", b"HEAD"):
+            headers.append((b"Content-Length", str(len(req.body)).encode()))
         return headers
 
     def read_reply(self, status: int, headers: HeaderList) -> ReplyHead:
@@ -116,24 +116,24 @@
             None if call_id is None else call_id[0].decode("latin-1"),
             is_signed=b"response-signature" in found,
             not_run=b"not-executed" in found or status in NOT_RUN_STATUSES,
-            is_elsewhere=status == 421 and b"replica-id" in found,
+            is_wrong_incarnation=status == 421 and b"replica-id" in found,
             confidence=int(confidence) if confidence.isdigit() else None,
             signals=self._read_signals(status, found),
         )
 
     def _read_signals(self, status: int, found: dict[bytes, list[bytes]]) -> HeadSignals:
         """Return what an endpoint says of itself."""
-        limit = read_rate(found.get(b"server-limit", []))
-        is_draining, is_odd = read_flag(found.get(b"server-leaving", []))
+        limit = parse_rate(found.get(b"server-limit", []))
+        is_draining, is_odd = parse_flag(found.get(b"server-leaving", []))
         times = found.get(b"retry-after", []) if status == 503 else []
-        backoff = read_backoff(times, found.get(b"date", [b""])[0], self._time_of_day)
-        odd = {"server-limit": limit.is_unclear, "server-leaving": is_odd}
-        odd["retry-after"] = backoff.is_unclear
+        backoff = parse_backoff(times, found.get(b"date", [b""])[0], self._time_of_day)
+        odd = {"server-limit": limit.is_malformed, "server-leaving": is_odd}
+        odd["retry-after"] = backoff.is_malformed
         return HeadSignals(
             is_draining,
             backoff.seconds,
             limit,
-            read_load(found.get(b"replica-load", [None])[0]),
+            parse_load(found.get(b"replica-load", [None])[0]),
             tuple(name for name, is_unclear in odd.items() if is_unclear),
             tuple((name, found[name][0]) for name in found.keys() - REPLY_HEADERS),
         )
--- a/umberhitch/platform/tests/test_documents.py
+++ b/umberhitch/platform/tests/test_documents.py
@@ -53,7 +53,7 @@
     assert route.services == (("x", 90.0), ("y", 10.0))
     assert route.models == ("s", "l")
     assert document.services["x"].cache_tokens == 1000
-    assert RouteTable(document).customer("k2").name == "acme"
+    assert RouteTable(document).find_customer("k2").name == "acme"
     assert (document.intake.head_bytes, document.intake.idle_timeout_s) == (100, 15.0)
 
 
--- a/umberhitch/platform/tests/test_headers.py
+++ b/umberhitch/platform/tests/test_headers.py
@@ -5,7 +5,7 @@
 from umberhitch.core.direct import HeadSignals, PromptPart, Rate, ReportedLoad
 from umberhitch.errors import BadAskError
 from umberhitch.platform import PlatformWire
-from umberhitch.ports.direct import CallExtras, RawRequest
+from umberhitch.ports.direct import CallMetadata, RawRequest
 
 WIRE = PlatformWire()
 HEAD = [
@@ -18,11 +18,11 @@
     (b"Prompt-Prefix", b"5c1e:800,91bd:200"),
     (b"X-Own", b"1"),
 ]
-EXTRAS = CallExtras(1.2, "i-1", "acme", "large", 12, b"7")
+EXTRAS = CallMetadata(1.2, "i-1", "acme", "large", 12, b"7")
 
 
 def read(*more: tuple[bytes, bytes]):
-    return WIRE.read_ask(RawRequest(b"POST", b"/a/b?q=1", [*HEAD, *more], b"body", 0.0))
+    return WIRE.read_request(RawRequest(b"POST", b"/a/b?q=1", [*HEAD, *more], b"body", 0.0))
 
 
 def test_a_request_is_decoded():
@@ -85,7 +85,7 @@
 )
 def test_malformed_heads_are_refused(headers: list, status: int):
     with pytest.raises(BadAskError) as caught:
-        WIRE.read_ask(RawRequest(b"GET", b"/", headers, b"", 0.0))
+        WIRE.read_request(RawRequest(b"GET", b"/", headers, b"", 0.0))
     assert caught.value.status == status
 
 
@@ -166,7 +166,7 @@
 )
 def test_an_odd_word_is_told_from_a_rate_and_from_none(value: bytes):
     head = WIRE.read_reply(503, [(b"Server-Limit", value)])
-    assert head.signals.limit == Rate(None, is_unclear=True)
+    assert head.signals.limit == Rate(None, is_malformed=True)
 
 
 def test_the_rate_goes_on_to_the_caller_as_it_came():
@@ -196,7 +196,7 @@
     wire = PlatformWire(lambda: 1_445_412_480.0)  # 21 October 2015, 7:28:00
     head = wire.read_reply(503, [(b"RETRY-after", value) for value in values])
     assert head.signals.backoff_s == seconds
-    assert head.signals.unclear == ()
+    assert head.signals.malformed == ()
 
 
 def test_a_date_to_come_back_counts_from_when_the_reply_was_written_by_the_same_clock():
@@ -230,7 +230,7 @@
 def test_an_odd_time_to_come_back_is_none(value: bytes):
     signals = WIRE.read_reply(503, [(b"Retry-After", value)]).signals
     assert signals.backoff_s is None
-    assert signals.unclear == ("retry-after",)
+    assert signals.malformed == ("retry-after",)
 
 
 @pytest.mark.parametrize("status", [200, 404, 429, 500, 502])
@@ -266,7 +266,7 @@
 def test_that_an_endpoint_leaves_is_read_in_all_its_forms(values, is_draining, is_odd):
     signals = WIRE.read_reply(200, [(b"server-LEAVING", value) for value in values]).signals
     assert signals.is_draining is is_draining
-    assert signals.unclear == (("server-leaving",) if is_odd else ())
+    assert signals.malformed == (("server-leaving",) if is_odd else ())
 
 
 def test_headers_that_nobody_knows_are_told_from_those_of_the_register():
--- a/umberhitch/ports/direct.py
+++ b/umberhitch/ports/direct.py
@@ -6,7 +6,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from umberhitch.core.direct import (
-    Ask,
+    CallerRequest,
     Document,
     ReplyHead,
     RolloutOrder,
@@ -16,8 +16,8 @@
 
 __all__ = [
     "CallEvents",
-    "CallExtras",
     "CallFailure",
+    "CallMetadata",
     "CallerReply",
     "EndpointCall",
     "EndpointPort",
@@ -26,10 +26,10 @@
     "FeedRecord",
     "HeaderList",
     "HoldsPort",
-    "Listening",
+    "ListenerStatus",
     "Member",
     "MembersPort",
-    "OnBegun",
+    "OnResponseStart",
     "OperatorValue",
     "RawRequest",
     "RunningCall",
@@ -42,7 +42,7 @@
 
 HeaderList = list[tuple[bytes, bytes]]
 Value = TypeVar("Value")
-OnBegun = Callable[[], None]
+OnResponseStart = Callable[[], None]
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         """Break the connection, so that the reply does not look complete."""
         ...
 
-    def on_pressure(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
+    def set_flow_control(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
         """Name what is to be called when the caller reads too slowly, and when it has caught up."""
         ...
 
@@ -101,7 +101,7 @@
     """It was sent, at least in part, and may have run."""
 
 
-class Listening(StrEnum):
+class ListenerStatus(StrEnum):
     """What a connection to an address told of the process there."""
 
     YES = "yes"
@@ -169,7 +169,7 @@
     target: bytes
     headers: HeaderList
     body: bytes
-    is_once: bool
+    is_non_repeatable: bool
 
 
 class EndpointPort(Protocol):
@@ -179,7 +179,7 @@
         """Send a call to ``IP:PORT``; events come later, never from within."""
         ...
 
-    def check(self, address: str, on_found: Callable[[Listening], None]) -> None:
+    def check(self, address: str, on_found: Callable[[ListenerStatus], None]) -> None:
         """Find out whether a process listens at ``IP:PORT``; the answer comes later."""
         ...
 
@@ -189,7 +189,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallExtras:
+class CallMetadata:
     """What the router itself says to the endpoint with a call.
 
     Attributes
@@ -205,17 +205,17 @@
     customer: str | None
     model: str | None
     priority: int | None
-    last_event: bytes | None
+    last_event_id: bytes | None
 
 
 class WirePort(Protocol):
     """The headers that callers, routers and endpoints exchange."""
 
-    def read_ask(self, raw: RawRequest) -> Ask:
+    def read_request(self, raw: RawRequest) -> CallerRequest:
         """Decode a request; raises `BadAskError`."""
         ...
 
-    def call_headers(self, ask: Ask, extras: CallExtras) -> HeaderList:
+    def call_headers(self, req: CallerRequest, metadata: CallMetadata) -> HeaderList:
         """Return all headers of a call."""
         ...
 
@@ -252,9 +252,9 @@
 
     records: tuple[FeedRecord[Value], ...]
     end: int
-    proved_s: float | None = None
-    pause_s: float | None = None
-    was_away: bool = False
+    as_of_s: float | None = None
+    next_call_delay_s: float | None = None
+    is_after_outage: bool = False
 
 
 class FeedPort(Protocol[Value]):
@@ -265,7 +265,7 @@
     validate is logged with its place and left out.
     """
 
-    async def newest(self, patience_s: float) -> FeedBatch[Value]:
+    async def newest(self, timeout_s: float) -> FeedBatch[Value]:
         """Return the newest record of every key, and an offset from which nothing is missed."""
         ...
 
@@ -273,8 +273,8 @@
         self,
         offset: int,
         wait_s: float,
-        patience_s: float,
-        on_begun: OnBegun = do_nothing,
+        timeout_s: float,
+        on_response_start: OnResponseStart = do_nothing,
     ) -> FeedBatch[Value]:
         """Return the records from an offset on, as soon as there is one or the wait is over.
 
@@ -283,9 +283,9 @@
         offset : int
         wait_s : float
             How long the store may hold the call.
-        patience_s : float
+        timeout_s : float
             A call has failed whose answer begins so much later.
-        on_begun : callable
+        on_response_start : callable
             Called as soon as it is known that there are records; the rest of them may take long.
         """
         ...
@@ -338,7 +338,7 @@
     """
 
     key: str
-    place: str
+    service_version: str
     lifetimes: tuple[str, ...]
     probes: int
 
--- a/umberhitch/ports/engine.py
+++ b/umberhitch/ports/engine.py
@@ -44,7 +44,7 @@
     """The answer is whole."""
 
     usage: Usage
-    finish: str = "stop"
+    finish_reason: str = "stop"
     status: int = 200
     headers: tuple[tuple[str, str], ...] = ()
 
--- a/umberhitch/ports/link.py
+++ b/umberhitch/ports/link.py
@@ -14,7 +14,7 @@
 class LinkPort(Protocol):
     """Sends messages to peers by name; any may be lost, repeated, late or out of order."""
 
-    def send(self, peer: str, message: Message, is_patient: bool = False) -> None:
+    def send(self, peer: str, message: Message, is_deferrable: bool = False) -> None:
         """Queue a message; messages to one peer share frames.
 
         A patient message waits a few milliseconds for others; any other takes along what waits.
--- a/umberhitch/scenarios/_runner.py
+++ b/umberhitch/scenarios/_runner.py
@@ -22,19 +22,19 @@
     make_version,
 )
 from umberhitch.wire import (
-    Beat,
-    Billed,
+    AttemptAccepted,
     Cancel,
     Chunk,
     ConfigRecords,
     ConfigSnapshot,
     Finished,
-    HandOver,
+    Heartbeat,
+    LoadOrder,
     Message,
-    Order,
     Refused,
     Start,
-    Taken,
+    UsageConfirmation,
+    UsageHandover,
 )
 
 __all__ = ["ScenarioError", "run_scenario"]
@@ -43,16 +43,16 @@
 PERCENT = 100.0
 MESSAGE_TYPES: dict[str, tuple[type, ...]] = {
     "start": (Start,),
-    "taken": (Taken,),
+    "taken": (AttemptAccepted,),
     "chunk": (Chunk,),
     "finished": (Finished,),
     "refused": (Refused,),
-    "billed": (Billed,),
+    "billed": (UsageConfirmation,),
     "config": (ConfigRecords, ConfigSnapshot),
-    "beat": (Beat,),
-    "handover": (HandOver,),
+    "beat": (Heartbeat,),
+    "handover": (UsageHandover,),
     "cancel": (Cancel,),
-    "order": (Order,),
+    "order": (LoadOrder,),
 }
 
 
--- a/umberhitch/soak/_mutations.py
+++ b/umberhitch/soak/_mutations.py
@@ -78,7 +78,7 @@
     """Zones that are out of service go on getting work."""
     from umberhitch.core.direct import Directory
 
-    Directory.zone_out = lambda self, zone, now_s: False  # type: ignore[method-assign]
+    Directory.disable_zone = lambda self, zone, now_s: False  # type: ignore[method-assign]
 
 
 def _rush_cold() -> None:
@@ -99,8 +99,8 @@
     """Endpoints that say that they leave, or want nothing for a while, get what others get."""
     from umberhitch.core.direct import ClosedEndpoints
 
-    ClosedEndpoints.take_leaving = lambda self, *word: False  # type: ignore[method-assign]
-    ClosedEndpoints.take_rest = lambda self, *word: False  # type: ignore[method-assign]
+    ClosedEndpoints.apply_draining = lambda self, *word: False  # type: ignore[method-assign]
+    ClosedEndpoints.apply_backoff = lambda self, *word: False  # type: ignore[method-assign]
 
 
 MUTATIONS: dict[str, Callable[[], None]] = {
--- a/umberhitch/standins/engine.py
+++ b/umberhitch/standins/engine.py
@@ -106,7 +106,7 @@
                     self._has_begun = True
                     self._request.setHeader("Content-Type", "text/event-stream")
                 self._request.write(chunk_event(call.call_id, 0, call.target, text))
-            case BackendDone(usage=usage, finish=finish):
+            case BackendDone(usage=usage, finish_reason=finish):
                 done = Done("", usage, call.target, "", finish)
                 self.done.callback(last_events(done, call.call_id, 0, wants_usage=True))
             case BackendRefused(reason=reason):
--- a/umberhitch/tasks/agent.py
+++ b/umberhitch/tasks/agent.py
@@ -34,26 +34,26 @@
 from umberhitch.tasks.usage import UsageHold
 from umberhitch.wire import (
     URGENT_PRIORITY,
+    AttemptAccepted,
     AttemptId,
-    Beat,
-    Billed,
     Cancel,
     Chunk,
     ConfigRecords,
+    ConfigRequest,
     ConfigSnapshot,
     EndpointState,
     Failed,
     Fetch,
     Finished,
-    HandOver,
+    Heartbeat,
     Hello,
+    LoadOrder,
     Message,
-    NeedConfig,
-    Order,
     Refused,
     Start,
-    Taken,
     Usage,
+    UsageConfirmation,
+    UsageHandover,
     UsageRecord,
     Withdrawal,
 )
@@ -132,7 +132,7 @@
 
     def drain(self) -> Deferred[None]:
         """Refuse new work; the result comes when running work and its usage records are done."""
-        self.state = EndpointState.LEAVING
+        self.state = EndpointState.DRAINING
         if self._drained is None:
             self._drained = Deferred()
             self._beat()
@@ -164,10 +164,10 @@
                 router.told_s = now
                 self._link.send(name, beat)
 
-    def beat(self) -> Beat:
+    def beat(self) -> Heartbeat:
         """Return the heartbeat as of now."""
         cfg = self.settings
-        return Beat(
+        return Heartbeat(
             cfg.endpoint,
             cfg.incarnation,
             cfg.zone,
@@ -229,9 +229,9 @@
                 self._on_records(sender, message)
             case ConfigSnapshot():
                 self._on_snapshot(message)
-            case Billed():
+            case UsageConfirmation():
                 self._on_billed(message)
-            case Order():
+            case LoadOrder():
                 self._on_order(sender, message)
             case Withdrawal():
                 self._config.stop_version(message)
@@ -245,18 +245,18 @@
             return
         now = self._clock.seconds()
         self._loading.fence.hear(hello.token)
-        router = self._routers[sender] = _Router(hello.incarnation, now, hello.beat_s)
+        router = self._routers[sender] = _Router(hello.incarnation, now, hello.heartbeat_interval_s)
         router.told_s = now if known is None else known.told_s
         if known is None or known.incarnation != hello.incarnation:
             self._link.send(sender, self.beat())
         if hello.revision > self.revision:
-            self._link.send(sender, NeedConfig(self.revision))
+            self._link.send(sender, ConfigRequest(self.revision))
 
     # Configuration
 
     def _on_records(self, sender: str, message: ConfigRecords) -> None:
         if not self._config.follows(message):
-            self._link.send(sender, NeedConfig(self.revision))
+            self._link.send(sender, ConfigRequest(self.revision))
         elif self._config.take_records(message):
             self._config_changed()
 
@@ -317,7 +317,7 @@
         self._admit(sender, start)
 
     def _park(self, sender: str, start: Start) -> None:
-        self._link.send(sender, NeedConfig(self.revision))
+        self._link.send(sender, ConfigRequest(self.revision))
         if any(parked.attempt == start.attempt for _, parked, _ in self._parked):
             return
         until_s = self._clock.seconds() + self.settings.config_wait_s
@@ -332,21 +332,21 @@
                 if reason is not None:
                     self._finish(entry, Refused(entry.attempt, reason, _retry_after(reason)))
                     return
-                self._link.send(sender, Taken(entry.attempt))
+                self._link.send(sender, AttemptAccepted(entry.attempt))
                 place = self._queue.place_for(start.priority, start.customer)
                 owner = self.config.customers.get(start.customer)
                 share = max(LEAST_SHARE, owner.limits.share if owner is not None else 1.0)
                 self._queue.push(place, entry, start.customer, share)
                 self._fill_slots()
             case Repeated(entry=entry):
-                self._link.send(sender, entry.result or Taken(entry.attempt))
+                self._link.send(sender, entry.result or AttemptAccepted(entry.attempt))
             case BelowFloor():
                 self._link.send(sender, Failed(start.attempt, Reason.EVICTED))
             case Full():
                 self._send_refusal(sender, start.attempt, Reason.LEDGER_FULL)
 
     def _admission_refusal(self, start: Start) -> Reason | None:
-        if self.state is EndpointState.LEAVING:
+        if self.state is EndpointState.DRAINING:
             return Reason.LEAVING
         if start.target not in self.targets or self._loading.is_under_way:
             return Reason.NO_ENDPOINT
@@ -380,7 +380,7 @@
                 self._link.send(sender, entry.result)
                 self._count_refusal(reason)
             case Repeated(entry=entry):
-                self._link.send(sender, entry.result or Taken(entry.attempt))
+                self._link.send(sender, entry.result or AttemptAccepted(entry.attempt))
             case BelowFloor():
                 self._link.send(sender, Failed(start.attempt, Reason.EVICTED))
             case Full():
@@ -427,7 +427,7 @@
                 offset = entry.add_text(text)
                 self._tell_watchers(entry, Chunk(entry.attempt, offset, text), offset > 0)
                 return
-            case BackendDone(usage=usage, finish=finish, status=status, headers=headers):
+            case BackendDone(usage=usage, finish_reason=finish, status=status, headers=headers):
                 result: Finished | Failed | Refused = Finished(
                     entry.attempt,
                     entry.length,
@@ -473,7 +473,7 @@
         self._parked = [row for row in self._parked if row[1].attempt != attempt]
         match self._ledger.tombstone(attempt):
             case Fresh(entry=entry):
-                self._link.send(sender, entry.result or Taken(attempt))
+                self._link.send(sender, entry.result or AttemptAccepted(attempt))
             case Repeated(entry=entry):
                 self._cancel_known(sender, entry)
             case BelowFloor():
@@ -509,7 +509,7 @@
 
     # Orders
 
-    def _on_order(self, sender: str, order: Order) -> None:
+    def _on_order(self, sender: str, order: LoadOrder) -> None:
         self._link.send(sender, self._loading.take(order))
         self._loading.begin_if_idle(len(self._running))
 
@@ -533,18 +533,18 @@
         )
         self._usage.hold(record, self._clock.seconds())
 
-    def _on_billed(self, message: Billed) -> None:
+    def _on_billed(self, message: UsageConfirmation) -> None:
         self._usage.confirm(message.requests)
         self._check_drained()
 
     def _hand_over_usage(self) -> None:
         """Offer overdue records to a router, another one at each turn."""
-        patience_s = 0.0 if self.state is EndpointState.LEAVING else self.settings.handover_s
+        patience_s = 0.0 if self.state is EndpointState.DRAINING else self.settings.handover_s
         overdue = self._usage.overdue(self._clock.seconds(), patience_s)
         router = self._usage.next_router(self._routers) if overdue else None
         if router is not None:
             self.counters.handovers += 1
-            self._link.send(router, HandOver(overdue))
+            self._link.send(router, UsageHandover(overdue))
 
 
 def _is_owner(entry: AttemptEntry, customer: str) -> bool:
--- a/umberhitch/tasks/attempts.py
+++ b/umberhitch/tasks/attempts.py
@@ -13,6 +13,7 @@
 from umberhitch.tasks.fleet import Endpoint, Fleet
 from umberhitch.wire import (
     URGENT_PRIORITY,
+    AttemptAccepted,
     AttemptId,
     Cancel,
     Chunk,
@@ -21,7 +22,6 @@
     Finished,
     Refused,
     Start,
-    Taken,
 )
 
 __all__ = ["AttemptPace", "Attempts", "OpenAttempt", "TextSink"]
@@ -247,7 +247,7 @@
 
     # Messages
 
-    def handle(self, message: Taken | Chunk | Finished | Refused | Failed) -> None:
+    def handle(self, message: AttemptAccepted | Chunk | Finished | Refused | Failed) -> None:
         """Handle what an agent says of an attempt."""
         watch = self._open.get(message.attempt)
         if watch is None:
@@ -256,7 +256,7 @@
         match message:
             case Chunk(offset=offset, text=text):
                 self._on_text(watch, offset, text)
-            case Taken():
+            case AttemptAccepted():
                 if watch.phase is Phase.SENT:
                     watch.phase = Phase.TAKEN
             case Finished():
@@ -298,7 +298,7 @@
             last.usage,
             last.target,
             watch.endpoint,
-            last.finish,
+            last.finish_reason,
             last.status,
             tuple(last.headers.items()),
         )
--- a/umberhitch/tasks/bills.py
+++ b/umberhitch/tasks/bills.py
@@ -8,7 +8,7 @@
 from umberhitch.errors import AppenderFullError
 from umberhitch.ports import Clock, LinkPort, LogPort
 from umberhitch.tasks.appender import Appender, AppenderLimits
-from umberhitch.wire import Billed, UsageRecord
+from umberhitch.wire import UsageConfirmation, UsageRecord
 
 __all__ = ["BILLING_STREAM", "BillWriter"]
 
@@ -87,7 +87,7 @@
 
     def _tell(self, requests: list[str], agents: list[str]) -> None:
         for agent in agents:
-            self._link.send(agent, Billed(requests))
+            self._link.send(agent, UsageConfirmation(requests))
 
     def when_idle(self, callback: Callable[[], None]) -> None:
         """Call back once no record waits."""
--- a/umberhitch/tasks/burn.py
+++ b/umberhitch/tasks/burn.py
@@ -6,7 +6,7 @@
 from umberhitch.core.burn import BurnBook, BurnRow, burn_rows
 from umberhitch.core.outcome import Done, NotRun, Outcome, Reason
 from umberhitch.ports.clock import Clock, pause
-from umberhitch.wire import BurnAsk, BurnReply, BurnSlice, Message
+from umberhitch.wire import BurnReply, BurnRequest, BurnSlice, Message
 
 __all__ = ["BurnHost", "BurnReport", "BurnTask"]
 
@@ -111,7 +111,7 @@
         self._replies[ask] = {}
         peers = self._host.peers()
         for peer in peers:
-            self._host.send(peer, BurnAsk(ask))
+            self._host.send(peer, BurnRequest(ask))
         if peers:
             await pause(self._clock, GATHER_S)
         replies = self._replies.pop(ask)
@@ -121,12 +121,12 @@
         missing = sorted(set(peers) - set(replies))
         return BurnReport(rows, sorted([own, *replies]), missing)
 
-    def answer(self, sender: str, ask: BurnAsk) -> None:
+    def answer(self, sender: str, ask: BurnRequest) -> None:
         """Send the book to a router that asks for it."""
-        self._host.send(sender, BurnReply(ask.ask, self._book.slices()))
+        self._host.send(sender, BurnReply(ask.request_id, self._book.slices()))
 
     def take(self, sender: str, reply: BurnReply) -> None:
         """Take a peer's book."""
-        replies = self._replies.get(reply.ask)
+        replies = self._replies.get(reply.request_id)
         if replies is not None:
             replies[sender] = reply.slices
--- a/umberhitch/tasks/direct/admission.py
+++ b/umberhitch/tasks/direct/admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from umberhitch.core.direct import Ask, Customer, Route, RouteKind, request_key
+from umberhitch.core.direct import CallerRequest, Customer, Route, RouteKind, request_key
 from umberhitch.ports.clock import Clock
 from umberhitch.tasks.direct.services import Permit
 from umberhitch.tasks.direct.store_view import StoreView
@@ -65,12 +65,12 @@
         self._behind_s = behind_s
         self._is_strict = is_strict
 
-    def admit(self, ask: Ask, received_s: float, takes_streams: bool) -> Permit | Refusal:
+    def admit(self, ask: CallerRequest, received_s: float, takes_streams: bool) -> Permit | Refusal:
         """Return the permit, or the refusal.
 
         Parameters
         ----------
-        ask : Ask
+        ask : CallerRequest
         received_s : float
             When its first byte was read.
         takes_streams : bool
@@ -91,7 +91,7 @@
         if not route.is_public:
             if is_stale and self._is_strict:
                 return STALE
-            customer = table.customer(ask.key)
+            customer = table.find_customer(ask.key)
             if customer is None:
                 return STALE if is_stale else Refusal(401, "unknown key")
         service = self._pick_service(route)
--- a/umberhitch/tasks/direct/change_log.py
+++ b/umberhitch/tasks/direct/change_log.py
@@ -115,4 +115,4 @@
         if not news:
             return reply
         reply = self._teller.add(reply, [(each.key, each.told) for each in news])
-        return replace(reply, was_away=any(each.was_away for each in news))
+        return replace(reply, is_after_outage=any(each.was_away for each in news))
--- a/umberhitch/tasks/direct/choosing.py
+++ b/umberhitch/tasks/direct/choosing.py
@@ -3,17 +3,17 @@
 from random import Random
 
 from umberhitch.core.direct import (
+    AnswerValue,
+    AnswerValueLimits,
+    Candidate,
     Cascade,
     Endpoint,
+    EngineCall,
     EngineDemand,
-    EngineWork,
-    Offer,
     Placement,
     RetryBudget,
     Service,
-    Stake,
-    WorthLimits,
-    make_stake,
+    make_answer_value,
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.tasks.direct.admission import LIGHT_TOKENS
@@ -44,7 +44,7 @@
     cascade : Cascade
     demand : EngineDemand
     gate : SendGate
-    worth : WorthLimits
+    worth : AnswerValueLimits
     clock : Clock
     rng : Random
     """
@@ -58,7 +58,7 @@
         cascade: Cascade,
         demand: EngineDemand,
         gate: SendGate,
-        worth: WorthLimits,
+        worth: AnswerValueLimits,
         clock: Clock,
         rng: Random,
     ) -> None:
@@ -78,8 +78,8 @@
     def first_model(self, permit: Permit) -> str | None:
         """Return the model to begin with; the request counts as demand from now on."""
         if permit.ask.prompt:
-            self._demand.note(permit.service, self._stake(permit), self._clock.seconds())
-        return self._cascade.first(permit.route, permit.ask)
+            self._demand.record_request(permit.service, self._stake(permit), self._clock.seconds())
+        return self._cascade.first_model(permit.route, permit.ask)
 
     def larger_model(
         self, permit: Permit, model: str, confidence: int | None, waited_s: float
@@ -87,7 +87,7 @@
         """Return the model to ask instead, or None to keep the answer."""
         if not permit.ask.picks_model:
             return None
-        if self._budget.left(permit.service, self._clock.seconds()) < 1.0:
+        if self._budget.remaining(permit.service, self._clock.seconds()) < 1.0:
             return None
         chosen = self.endpoint(permit, permit.route.models[-1], set())
         if chosen is None:
@@ -99,8 +99,8 @@
             permit.route, permit.ask, stake, model, confidence, prices, waited_s, chosen
         )
 
-    def _stake(self, permit: Permit) -> Stake:
-        return make_stake(permit.route, permit.ask, self._worth)
+    def _stake(self, permit: Permit) -> AnswerValue:
+        return make_answer_value(permit.route, permit.ask, self._worth)
 
     def service(self, permit: Permit) -> Service | None:
         """Return what the configuration says of a request's service."""
@@ -118,7 +118,7 @@
         priority, customer = permit.route.priority, permit.customer
         if customer is not None and customer.priority is not None:
             priority = customer.priority
-        return priority, -self._stake(permit).worth
+        return priority, -self._stake(permit).value
 
     def come_back_s(self, permit: Permit) -> float:
         """Return when a request for which there was no endpoint should come again.
@@ -142,7 +142,7 @@
         now_s = self._clock.seconds()
         is_open = self._gate.opener()
         ready = self._view.directory.ready(permit.service, now_s, self._rng, is_open)
-        if home is None or home in ready or not home.takes_work(now_s):
+        if home is None or home in ready or not home.accepts_work(now_s):
             return ready
         return [*ready, home] if is_open is None or is_open(home) else ready
 
@@ -150,9 +150,9 @@
         prompt = permit.ask.prompt
         if len(prompt) < 2:
             return None
-        return self._view.directory.home(permit.service, prompt[-2].part_id)
+        return self._view.directory.affinity_endpoint(permit.service, prompt[-2].part_id)
 
-    def endpoint(self, permit: Permit, model: str | None, tried: set[str]) -> Offer | None:
+    def endpoint(self, permit: Permit, model: str | None, tried: set[str]) -> Candidate | None:
         """Return where a call goes, or None where no endpoint takes work."""
         now_s = self._clock.seconds()
         home = self._home(permit)
@@ -168,7 +168,7 @@
             return None
         if not permit.ask.prompt:
             return self._placement.choose_plain(fresh, now_s)
-        work = EngineWork(
+        work = EngineCall(
             permit.ask,
             model or "",
             permit.route.models,
--- a/umberhitch/tasks/direct/crash_guard.py
+++ b/umberhitch/tasks/direct/crash_guard.py
@@ -9,12 +9,12 @@
 
 from umberhitch.core.direct import AnswerVerdict, CrashLimits, CrashRecord, Endpoint, Hold
 from umberhitch.ports.clock import Clock
-from umberhitch.ports.direct import EndpointPort, Listening
+from umberhitch.ports.direct import EndpointPort, ListenerStatus
 from umberhitch.tasks.direct.crash_sharing import CrashSharing
 from umberhitch.tasks.direct.crash_watch import CrashWatch
 from umberhitch.tasks.direct.probing import Probing
 from umberhitch.tasks.direct.services import Permit, Run, place_of
-from umberhitch.wire import CrashNews, ProbeAsk, ProbeReply
+from umberhitch.wire import CrashUpdate, ProbeReply, ProbeRequest
 
 __all__ = ["CrashGuard"]
 
@@ -90,11 +90,11 @@
             done(hold.until_s - now_s)
             return
 
-        def take(found: Listening) -> None:
-            if found is Listening.YES:
+        def take(found: ListenerStatus) -> None:
+            if found is ListenerStatus.YES:
                 self.probing.ask(permit.key, place_of(endpoint), lease_s, done)
             else:
-                self._on_unreachable(endpoint, found is Listening.NO)
+                self._on_unreachable(endpoint, found is ListenerStatus.NO)
                 done(ABSENT_RETRY_S)
 
         self._endpoints.check(endpoint.entry.address, take)
@@ -132,7 +132,7 @@
         """Free a request once a run of it has gone on for long enough."""
         assert run.head_s is not None
         key = run.permit.key
-        left_s = run.head_s + self.record.outlived_s(key) - self._clock.seconds()
+        left_s = run.head_s + self.record.survival_s(key) - self._clock.seconds()
 
         def look() -> None:
             if self._is_under_way(run) and self.record.is_held(key):
@@ -175,12 +175,12 @@
 
     # Peers
 
-    def receive(self, sender: str, message: CrashNews | ProbeAsk | ProbeReply) -> None:
+    def receive(self, sender: str, message: CrashUpdate | ProbeRequest | ProbeReply) -> None:
         """Handle what another router sent."""
         match message:
-            case CrashNews():
+            case CrashUpdate():
                 self.sharing.receive(message)
-            case ProbeAsk():
+            case ProbeRequest():
                 self.probing.on_ask(sender, message)
             case ProbeReply():
                 self.probing.on_reply(message)
