--- a/umberhitch/tasks/direct/crash_sharing.py
+++ b/umberhitch/tasks/direct/crash_sharing.py
@@ -14,7 +14,7 @@
 from umberhitch.core.direct import Crash, CrashRecord
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import do_nothing
-from umberhitch.wire import CrashNews, CrashTold, EndTold, Message, ProbeTold
+from umberhitch.wire import CrashNotice, CrashUpdate, Message, ProbeNotice, RunEndNotice
 
 __all__ = ["CrashSharing"]
 
@@ -63,7 +63,7 @@
         self._clock = clock
         self._crashes: list[tuple[str, Crash]] = []
         self._ends: set[str] = set()
-        self._probes: dict[str, ProbeTold] = {}
+        self._probes: dict[str, ProbeNotice] = {}
         self._turn = 0
 
     def arbiter(self, key: str) -> str:
@@ -85,7 +85,7 @@
     def ended(self, key: str, at_s: float) -> None:
         """Take note that a run of a request has ended here, or gone on for long enough."""
         was_held = self.record.is_held(key)
-        if self.record.note_end(key, at_s):
+        if self.record.note_run_end(key, at_s):
             self._tell_end(key, was_held)
 
     def _tell_end(self, key: str, was_held: bool) -> None:
@@ -102,16 +102,16 @@
         """Take note that this router has let a probe through."""
         now_s = self._clock.seconds()
         if self.record.note_probe(key, place, probes, now_s, now_s + lease_s):
-            self._probes[key] = ProbeTold(key, place, probes, 0.0, lease_s)
+            self._probes[key] = ProbeNotice(key, place, probes, 0.0, lease_s)
             self._decide(key)
             self.on_news()
 
     def probe_over(self, key: str) -> None:
         """Take note that a probe that ran here has ended and shows nothing."""
-        probed = self.record.probed(key)
-        if self.record.note_probe_over(key) and probed is not None:
+        probed = self.record.last_probe(key)
+        if self.record.note_probe_end(key) and probed is not None:
             place, probes, _ = probed
-            self._probes[key] = ProbeTold(key, place, probes, 0.0, 0.0)
+            self._probes[key] = ProbeNotice(key, place, probes, 0.0, 0.0)
             self.on_news()
 
     def release(self, key: str) -> bool:
@@ -124,7 +124,7 @@
 
     # Telling
 
-    def take_news(self) -> list[CrashNews]:
+    def take_news(self) -> list[CrashUpdate]:
         """Return what the others are to be told at once, and were not."""
         crashes = [self._told(key, crash) for key, crash in self._crashes[:MAX_CRASHES]]
         self._crashes = self._crashes[MAX_CRASHES:]
@@ -133,14 +133,14 @@
         self._ends, self._probes = set(), {}
         if self._crashes:
             self.on_news()
-        return [CrashNews(crashes, ends, probes)] if crashes or ends or probes else []
+        return [CrashUpdate(crashes, ends, probes)] if crashes or ends or probes else []
 
-    def all_news(self) -> list[CrashNews]:
+    def all_news(self) -> list[CrashUpdate]:
         """Return what a router is told that is new here, the strongest evidence first."""
         keys = sorted(self.record.suspects(), key=lambda each: -len(self.record.crashes(each)))
         return self._news_of(keys)
 
-    def news_again(self) -> list[CrashNews]:
+    def news_again(self) -> list[CrashUpdate]:
         """Return what is told again: some of what is held or recent, in turn."""
         now_s = self._clock.seconds()
         if not len(self.record):
@@ -150,16 +150,16 @@
         keys = [
             key
             for key in self.record.suspects()
-            if self.record.is_held(key) or self.record.crashes(key)[-1].ended_s > since_s
+            if self.record.is_held(key) or self.record.crashes(key)[-1].crashed_s > since_s
         ]
         self._turn = (self._turn + MAX_AGAIN) % max(1, len(keys))
         return self._news_of((keys[self._turn :] + keys[: self._turn])[:MAX_AGAIN])
 
-    def news_of(self, key: str) -> list[CrashNews]:
+    def news_of(self, key: str) -> list[CrashUpdate]:
         """Return what is held against one request."""
         return self._news_of([key])
 
-    def _news_of(self, keys: list[str]) -> list[CrashNews]:
+    def _news_of(self, keys: list[str]) -> list[CrashUpdate]:
         now_s = self._clock.seconds()
         enough = self.record.limits.crashes
         crashes = [
@@ -167,45 +167,50 @@
         ]
         probes = []
         for key in keys:
-            probed = self.record.probed(key)
+            probed = self.record.last_probe(key)
             if probed is not None:
                 place, number, at_s = probed
-                probes.append(ProbeTold(key, place, number, now_s - at_s, 0.0))
-        return [CrashNews(crashes[:MAX_CRASHES], [], probes)] if crashes else []
+                probes.append(ProbeNotice(key, place, number, now_s - at_s, 0.0))
+        return [CrashUpdate(crashes[:MAX_CRASHES], [], probes)] if crashes else []
 
-    def _told(self, key: str, crash: Crash) -> CrashTold:
+    def _told(self, key: str, crash: Crash) -> CrashNotice:
         now_s = self._clock.seconds()
-        began_age_s = round(now_s - crash.began_s, 4)
-        ended_age_s = round(now_s - crash.ended_s, 4)
-        return CrashTold(key, crash.lifetime, crash.place, began_age_s, ended_age_s)
+        began_age_s = round(now_s - crash.started_s, 4)
+        ended_age_s = round(now_s - crash.crashed_s, 4)
+        return CrashNotice(key, crash.lifetime, crash.service_version, began_age_s, ended_age_s)
 
-    def _end_told(self, key: str) -> EndTold:
+    def _end_told(self, key: str) -> RunEndNotice:
         now_s = self._clock.seconds()
-        ended_s = self.record.ended_s(key)
-        return EndTold(key, 0.0 if ended_s is None else round(now_s - ended_s, 4))
+        ended_s = self.record.last_run_end_s(key)
+        return RunEndNotice(key, 0.0 if ended_s is None else round(now_s - ended_s, 4))
 
     # Others' news
 
-    def receive(self, message: CrashNews) -> None:
+    def receive(self, message: CrashUpdate) -> None:
         """Take what another router tells."""
         now_s = self._clock.seconds()
-        for end in message.ends:
+        for end in message.run_ends:
             self._take_end(end, now_s)
         for told in message.crashes:
             self._take_crash(told, now_s)
         for probe in message.probes:
             self._take_probe(probe, now_s)
 
-    def _take_end(self, end: EndTold, now_s: float) -> None:
+    def _take_end(self, end: RunEndNotice, now_s: float) -> None:
         was_held = self.record.is_held(end.key)
-        is_freed = self.record.note_end(end.key, now_s - end.age_s)
+        is_freed = self.record.note_run_end(end.key, now_s - end.age_s)
         if is_freed and self.arbiter(end.key) == self._name:
             self._tell_end(end.key, was_held)
         elif is_freed and was_held:
             log.info("request held no more", extra={"key": end.key, "reason": "told"})
 
-    def _take_crash(self, told: CrashTold, now_s: float) -> None:
-        crash = Crash(told.lifetime, told.place, now_s - told.began_age_s, now_s - told.ended_age_s)
+    def _take_crash(self, told: CrashNotice, now_s: float) -> None:
+        crash = Crash(
+            told.lifetime,
+            told.service_version,
+            now_s - told.started_age_s,
+            now_s - told.crash_age_s,
+        )
         if self.record.is_refuted(told.key, crash):
             self._refute(told.key)
             return
@@ -220,15 +225,17 @@
             self._ends.add(key)
             self.on_news()
         else:
-            self.send(arbiter, CrashNews([], [self._end_told(key)], []))
+            self.send(arbiter, CrashUpdate([], [self._end_told(key)], []))
 
-    def _take_probe(self, probe: ProbeTold, now_s: float) -> None:
+    def _take_probe(self, probe: ProbeNotice, now_s: float) -> None:
         at_s = now_s - probe.age_s
-        self.record.note_probe(probe.key, probe.place, probe.probes, at_s, now_s + probe.lease_s)
+        self.record.note_probe(
+            probe.key, probe.service_version, probe.probes, at_s, now_s + probe.lease_s
+        )
         if probe.lease_s == 0.0:
-            known = self.record.probed(probe.key)
+            known = self.record.last_probe(probe.key)
             if known is not None and known[1] <= probe.probes and probe.age_s == 0.0:
-                self.record.note_probe_over(probe.key)
+                self.record.note_probe_end(probe.key)
 
     def _look_held(self, key: str, was_held: bool, source: str) -> None:
         if was_held or not self.record.is_held(key):
@@ -241,9 +248,9 @@
                 "key": key,
                 "source": source,
                 "endpoints": [each.lifetime for each in crashes],
-                "places": sorted({each.place for each in crashes}),
-                "run_s": [round(each.ended_s - each.began_s, 3) for each in crashes],
-                "age_s": [round(now_s - each.ended_s, 3) for each in crashes],
+                "places": sorted({each.service_version for each in crashes}),
+                "run_s": [round(each.crashed_s - each.started_s, 3) for each in crashes],
+                "age_s": [round(now_s - each.crashed_s, 3) for each in crashes],
             },
         )
         self.on_held(key)
--- a/umberhitch/tasks/direct/crash_watch.py
+++ b/umberhitch/tasks/direct/crash_watch.py
@@ -14,7 +14,7 @@
 
 from umberhitch.core.direct import AnswerVerdict, Crash, CrashRecord, Endpoint
 from umberhitch.ports.clock import Clock
-from umberhitch.ports.direct import EndpointPort, Listening
+from umberhitch.ports.direct import EndpointPort, ListenerStatus
 from umberhitch.tasks.direct.services import Run
 
 __all__ = ["CrashWatch"]
@@ -101,10 +101,10 @@
         """Call ``on_alive`` once the endpoint of a whole reply is seen to have outlived it."""
         self._add(_Broken(run, self._clock.seconds(), True))
 
-        def take(found: Listening) -> None:
-            if found is Listening.YES and run.endpoint.lifetime not in self._ended:
+        def take(found: ListenerStatus) -> None:
+            if found is ListenerStatus.YES and run.endpoint.lifetime not in self._ended:
                 on_alive()
-            elif found is Listening.NO:
+            elif found is ListenerStatus.NO:
                 self.ended(run.endpoint)
 
         address = run.endpoint.entry.address
@@ -139,11 +139,11 @@
             endpoint.entry.address, lambda found: self._on_checked(endpoint, found)
         )
 
-    def _on_checked(self, endpoint: Endpoint, found: Listening) -> None:
+    def _on_checked(self, endpoint: Endpoint, found: ListenerStatus) -> None:
         self._checked.discard(endpoint.lifetime)
-        if found is not Listening.NO:
+        if found is not ListenerStatus.NO:
             self._note_version(endpoint.lifetime)
-        if found is not Listening.YES:
+        if found is not ListenerStatus.YES:
             self.ended(endpoint)
 
     def _note_version(self, lifetime: str) -> None:
@@ -163,7 +163,7 @@
             self._ended.popitem(last=False)
         oldest_s = self._clock.seconds() - BROKEN_S
         broken = [each for each in self._broken.pop(lifetime, []) if each.at_s > oldest_s]
-        if endpoint.is_leaving or not broken:
+        if endpoint.is_draining or not broken:
             return
         self.crashes += 1
         log.info(
--- a/umberhitch/tasks/direct/exchange.py
+++ b/umberhitch/tasks/direct/exchange.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from umberhitch.core.direct import Endpoint, Offer, Placed, ReplyHead, RouteKind
+from umberhitch.core.direct import Candidate, Endpoint, PlacedCall, ReplyHead, RouteKind
 from umberhitch.ports.clock import Timer
 from umberhitch.ports.direct import CallerReply, CallFailure, RunningCall
 from umberhitch.tasks.direct.judging import AnswerJudge
@@ -56,12 +56,12 @@
         self._tried: set[str] = set()
         self._model: str | None = None
         self._endpoint: Endpoint | None = None
-        self._placed: Placed | None = None
+        self._placed: PlacedCall | None = None
         self._call: RunningCall | None = None
         self._run: Run | None = None
         self._head: ReplyHead | None = None
         self._judge = AnswerJudge(services, permit)
-        self._relay = Relay(reply, ask.last_event, self._pause, self._resume)
+        self._relay = Relay(reply, ask.last_event_id, self._pause, self._resume)
         self._is_paused = False
         self._is_over = False
         self.answered_s: float | None = None
@@ -132,11 +132,11 @@
             return False
         return self._is_probe or self._svc.crashes.is_held(self.permit)
 
-    def _choose(self) -> Offer | None:
+    def _choose(self) -> Candidate | None:
         """Return an endpoint that has not been tried, or None."""
         return self._svc.choosing.endpoint(self.permit, self._model, self._tried)
 
-    def _begin_call(self, offer: Offer) -> None:
+    def _begin_call(self, offer: Candidate) -> None:
         endpoint = self._endpoint = offer.endpoint
         self._judge.call_sent(endpoint, self._model)
         self._head = None
@@ -216,7 +216,7 @@
         assert self._placed is not None
         self._head = head
         self._svc.began(self._placed, head)
-        if self._run is not None and not head.is_elsewhere:
+        if self._run is not None and not head.is_wrong_incarnation:
             self._svc.crashes.answered(self._run)
         if head.not_run:
             self._on_not_run(head)
@@ -232,7 +232,7 @@
 
     def _on_not_run(self, head: ReplyHead) -> None:
         assert self._endpoint is not None
-        if head.is_elsewhere:
+        if head.is_wrong_incarnation:
             self._svc.moved(self._endpoint)
         self._settle(self._svc.crashes.not_run)
         self._svc.decided(self, "call not run", True, status=head.status)
--- a/umberhitch/tasks/direct/feeds.py
+++ b/umberhitch/tasks/direct/feeds.py
@@ -170,20 +170,24 @@
             self._take(batch, is_whole, called_s)
             is_whole = True
             if self._is_fresh():
-                pause_s = self._pace.pause_s if batch.pause_s is None else batch.pause_s
+                pause_s = (
+                    self._pace.pause_s
+                    if batch.next_call_delay_s is None
+                    else batch.next_call_delay_s
+                )
                 await pause(self._clock, pause_s)
 
     def _take(self, batch: FeedBatch[Value], is_further: bool, called_s: float) -> None:
         if self._is_stopped:
             return
-        was_away = batch.was_away or self._was_away()
+        was_away = batch.is_after_outage or self._was_away()
         if is_further:
             self._on_records(batch, was_away)
         else:
             self._on_all(batch)
         self.offset = batch.end
         self.behind_since_s = None
-        proved_s = called_s if batch.proved_s is None else batch.proved_s
+        proved_s = called_s if batch.as_of_s is None else batch.as_of_s
         self.proved_s = proved_s if self.proved_s is None else max(self.proved_s, proved_s)
         self.on_taken(batch, not is_further, was_away)
 
--- a/umberhitch/tasks/direct/gateway.py
+++ b/umberhitch/tasks/direct/gateway.py
@@ -12,18 +12,18 @@
     EndpointEntry,
     EngineDemand,
     IntakeLimits,
-    Paces,
-    Placed,
+    PlacedCall,
     Placement,
     ReplyHead,
     RetryBudget,
     RouteKind,
     RouteTable,
+    TokenLatencies,
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import (
     CallerReply,
-    CallExtras,
+    CallMetadata,
     EndpointCall,
     EndpointPort,
     FeedPort,
@@ -95,7 +95,7 @@
         self.running: set[RequestState] = set()
         self.burn: BurnTask | None = None
         """Where requests that have ended are counted against their routes' objectives."""
-        self._paces = Paces()
+        self._paces = TokenLatencies()
         self._rng = rng
         self._wire = wire
         self.answers = OwnAnswers(wire, self.decisions)
@@ -107,7 +107,7 @@
             lambda run, verdict: self.noted(run.permit, run.endpoint, verdict),
             self.unreachable,
         )
-        trials.running = self.placement.all_running
+        trials.running = self.placement.all_running_calls
         self.view = StoreView(
             clock,
             rng,
@@ -118,9 +118,9 @@
             trials,
             self._on_endpoints,
             self.crashes.watch.ended,
-            Directory(self.gate.closed.leaving, settings.name),
+            Directory(self.gate.closed.draining, settings.name),
         )
-        self.gate.on_leaving = self.directory.withdraw
+        self.gate.on_leaving = self.directory.mark_draining
         self.presence = Presence(
             clock,
             settings.drain_s,
@@ -189,7 +189,7 @@
     def _on_endpoints(self, gone: list[str]) -> None:
         for address in gone:
             self._endpoints.close_idle(address)
-        self.placement.forget(self.directory.lifetimes())
+        self.placement.retain(self.directory.lifetimes())
         self.gate.forget(self.directory.lifetimes())
 
     @property
@@ -228,7 +228,7 @@
 
     def _begin(self, permit: Permit, reply: CallerReply, is_probe: bool) -> Callable[[], None]:
         """Begin an exchange with endpoints."""
-        self.budget.request(permit.service, permit.received_s)
+        self.budget.record_request(permit.service, permit.received_s)
         exchange = Exchange(self, permit, reply, is_probe)
         self.running.add(exchange)
         return exchange.start()
@@ -237,20 +237,20 @@
 
     def send(
         self, permit: Permit, endpoint: Endpoint, model: str | None, call: RequestState
-    ) -> tuple[RunningCall, Placed]:
+    ) -> tuple[RunningCall, PlacedCall]:
         """Send the request to an endpoint."""
         self.counters.calls += 1
         ask, route = permit.ask, permit.route
         service = self.choosing.service(permit)
         now_s = self.clock.seconds()
-        endpoint.tried(now_s)
+        endpoint.note_call_sent(now_s)
         self.gate.sent(endpoint, service)
         placed = self.placement.place(endpoint, ask, model or "", route.models, service, now_s)
         customer = permit.customer
         priority = route.priority
         if customer is not None and customer.priority is not None:
             priority = customer.priority
-        extras = CallExtras(
+        extras = CallMetadata(
             call.left_s,
             endpoint.entry.incarnation,
             None if customer is None else customer.name,
@@ -264,13 +264,13 @@
             ask.target,
             self._wire.call_headers(ask, extras),
             ask.body,
-            is_once=route.kind is RouteKind.NON_IDEMPOTENT,
+            is_non_repeatable=route.kind is RouteKind.NON_IDEMPOTENT,
         )
         return self._endpoints.send(endpoint.entry.address, request, call), placed
 
     def may_repeat(self, service: str) -> bool:
         """Take one repeat from the shared budget, if there is one."""
-        return self.budget.take(service, self.clock.seconds())
+        return self.budget.acquire(service, self.clock.seconds())
 
     def paced(
         self,
@@ -286,7 +286,7 @@
         """
         what = permit.route.name if model is None else model
         if model is not None:
-            what += f" {self.placement.read_rank(endpoint.lifetime, since_s)}"
+            what += f" {self.placement.largest_prefill_rank(endpoint.lifetime, since_s)}"
         is_loaded = self.trials.bears_load(permit.service, endpoint)
         is_slow = self._paces.is_slow(permit.service, what, pace_s, is_loaded)
         if not self.trials.is_target(permit.service, endpoint):
@@ -305,7 +305,7 @@
 
     def unreachable(self, endpoint: Endpoint, is_ended: bool = False) -> None:
         """Take note that an endpoint could not be reached or went silent."""
-        endpoint.failed(self.clock.seconds(), is_ended)
+        endpoint.note_failure(self.clock.seconds(), is_ended)
         if is_ended:
             self.crashes.watch.ended(endpoint)
 
@@ -316,26 +316,26 @@
         if self.directory.of_lifetime(endpoint.lifetime) is not None:
             self.directory.drop(endpoint.entry.incarnation)
 
-    def began(self, placed: Placed, head: ReplyHead) -> None:
+    def began(self, placed: PlacedCall, head: ReplyHead) -> None:
         """Take note that a reply has begun."""
         now_s = self.clock.seconds()
         self.gate.heard(placed.lifetime, head)
         endpoint = self.directory.of_lifetime(placed.lifetime)
-        if endpoint is not None and not head.is_elsewhere:
-            self.directory.answered(endpoint, now_s)
+        if endpoint is not None and not head.is_wrong_incarnation:
+            self.directory.note_answer(endpoint, now_s)
         load = head.signals.load
         if load is not None and endpoint is not None:  # else its lifetime is over
-            self.placement.report(placed.lifetime, load, now_s)
+            self.placement.update_reported_load(placed.lifetime, load, now_s)
         if head.is_success:
-            self.placement.began(placed, now_s)
-        elif head.not_run and not head.is_elsewhere:
-            self.placement.refused(placed, now_s)
+            self.placement.note_reply_started(placed, now_s)
+        elif head.not_run and not head.is_wrong_incarnation:
+            self.placement.note_refused(placed, now_s)
 
     def heard_late(self, endpoint: Endpoint, head: ReplyHead) -> None:
         """Take note of a reply of an endpoint to a call that nobody waits for any more."""
         self.gate.heard(endpoint.lifetime, head)
 
-    def release(self, placed: Placed, is_failure: bool | None) -> None:
+    def release(self, placed: PlacedCall, is_failure: bool | None) -> None:
         """Count a call no more."""
         self.placement.release(placed, is_failure)
 
--- a/umberhitch/tasks/direct/gateway_limits.py
+++ b/umberhitch/tasks/direct/gateway_limits.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 
 from umberhitch.core.direct import (
-    BudgetLimits,
+    AnswerValueLimits,
     CascadeLimits,
     ColdLimits,
     EngineTimeLimits,
     LimitRules,
     PlacementLimits,
-    WorthLimits,
+    RetryBudgetLimits,
 )
 from umberhitch.tasks.direct.feeds import FeedPace
 from umberhitch.tasks.direct.services import ExchangeLimits
@@ -57,12 +57,12 @@
     )
     """Heartbeats come all the time, so calls are not held; one that is lost must not cost more than
     what is left of the 2 s in which an endpoint that leaves has to be known."""
-    budget: BudgetLimits = BudgetLimits()
+    budget: RetryBudgetLimits = RetryBudgetLimits()
     cascade: CascadeLimits = CascadeLimits()
     cold: ColdLimits = ColdLimits()
     engine_time: EngineTimeLimits = EngineTimeLimits()
     placement: PlacementLimits = PlacementLimits()
-    worth: WorthLimits = WorthLimits()
+    worth: AnswerValueLimits = AnswerValueLimits()
     limit_rules: LimitRules = LimitRules()
     exchange: ExchangeLimits = ExchangeLimits()
 
--- a/umberhitch/tasks/direct/intake.py
+++ b/umberhitch/tasks/direct/intake.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from umberhitch.core.direct import Ask
+from umberhitch.core.direct import CallerRequest
 from umberhitch.errors import BadAskError
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import CallerReply, RawRequest, WirePort, do_nothing
@@ -65,7 +65,7 @@
     def take(self, raw: RawRequest, reply: CallerReply) -> Leave:
         """Begin to answer a request; returns what is to be called if the caller leaves."""
         try:
-            ask = self.wire.read_ask(raw)
+            ask = self.wire.read_request(raw)
         except BadAskError as exc:
             self.answer(reply, None, exc.status, str(exc), None)
             return do_nothing
@@ -74,10 +74,10 @@
             return self._wait_for_proof(ask, raw.received_s, reply)
         return self._go_on(ask, permit, reply)
 
-    def _admit(self, ask: Ask, received_s: float) -> Permit | Refusal:
+    def _admit(self, ask: CallerRequest, received_s: float) -> Permit | Refusal:
         return self.admission.admit(ask, received_s, not self.presence.is_noticed)
 
-    def _wait_for_proof(self, ask: Ask, received_s: float, reply: CallerReply) -> Leave:
+    def _wait_for_proof(self, ask: CallerRequest, received_s: float, reply: CallerReply) -> Leave:
         """Wait a moment for the store's answer: the process stood still, and wakes."""
         leave = do_nothing
 
@@ -95,7 +95,7 @@
 
         return on_left
 
-    def _go_on(self, ask: Ask, permit: Permit | Refusal, reply: CallerReply) -> Leave:
+    def _go_on(self, ask: CallerRequest, permit: Permit | Refusal, reply: CallerReply) -> Leave:
         """Pass a request on, or refuse it."""
         if isinstance(permit, Refusal):
             retry_s = self._come_back_s(ask) if permit.status == 503 else None
@@ -134,7 +134,7 @@
             self.crashes.ask_probe(permit, chosen.endpoint, lease_s, go_on)
         return on_left
 
-    def _come_back_s(self, ask: Ask) -> float:
+    def _come_back_s(self, ask: CallerRequest) -> float:
         """Return when a request that is not taken should come again.
 
         A router that starts while the store is away has nothing to serve by until that is back,
--- a/umberhitch/tasks/direct/judging.py
+++ b/umberhitch/tasks/direct/judging.py
@@ -1,6 +1,6 @@
 """Tells a request's router how each endpoint answered it: well, slowly, with a failure, or not."""
 
-from umberhitch.core.direct import AnswerVerdict, Endpoint, EventPace
+from umberhitch.core.direct import AnswerVerdict, Endpoint, InterTokenLatency
 from umberhitch.tasks.direct.services import Permit, Services
 
 __all__ = ["AnswerJudge"]
@@ -21,24 +21,24 @@
         self._endpoint: Endpoint | None = None
         self._model: str | None = None
         self._sent_s = 0.0
-        self._pace = EventPace()
+        self._pace = InterTokenLatency()
         self._is_noted = False
 
     def call_sent(self, endpoint: Endpoint, model: str | None) -> None:
         """Begin with a new call."""
         self._endpoint, self._model = endpoint, model
         self._sent_s = self._svc.clock.seconds()
-        self._pace = EventPace()
+        self._pace = InterTokenLatency()
         self._is_noted = False
 
     def events_seen(self, count: int) -> None:
         """Note that ``count`` events have come; judge the stream once its pace is known."""
-        self._pace.seen(count, self._svc.clock.seconds())
-        self._judge(self._pace.pace_s(is_end=False), self._pace.since_s)
+        self._pace.record_events(count, self._svc.clock.seconds())
+        self._judge(self._pace.inter_token_s(is_end=False), self._pace.first_event_s)
 
     def stream_ended(self) -> None:
         """Judge a whole stream."""
-        self._judge(self._pace.pace_s(is_end=True), self._pace.since_s)
+        self._judge(self._pace.inter_token_s(is_end=True), self._pace.first_event_s)
         self._note(AnswerVerdict.UNPACED)
 
     def reply_ended(self) -> None:
--- a/umberhitch/tasks/direct/membership.py
+++ b/umberhitch/tasks/direct/membership.py
@@ -17,7 +17,7 @@
 from umberhitch.ports.clock import Clock, pause
 from umberhitch.ports.direct import Member, MembersPort
 from umberhitch.tasks.direct.sharing import Sharing
-from umberhitch.wire import ViewAsk, ViewReply
+from umberhitch.wire import ViewReply, ViewRequest
 
 __all__ = ["MEMBERS_STREAM", "Membership", "MembershipLimits"]
 
@@ -92,7 +92,7 @@
         self._members: list[Member] = []
         self._listed = -1
         """Generation of the group that the list is not older than."""
-        self._waiting: list[tuple[str, ViewAsk]] = []
+        self._waiting: list[tuple[str, ViewRequest]] = []
         self._is_reading = False
         self._is_stopped = False
         self._joined_s: float | None = None
@@ -161,7 +161,7 @@
         reply = await self._sharing.ask(
             reader, MEMBERS_STREAM, generation, limits.hold_s, limits.patience_s
         )
-        if reply is None or not reply.is_known or reply.end < generation:
+        if reply is None or not reply.is_offset_known or reply.end < generation:
             return False
         self._take([Member(name, address) for name, address in reply.members], reply.end)
         return True
@@ -180,7 +180,7 @@
 
     # For others
 
-    def on_ask(self, sender: str, ask: ViewAsk) -> None:
+    def on_ask(self, sender: str, ask: ViewRequest) -> None:
         """Tell a peer the list, if need be after one call to the store for all that wait."""
         if ask.offset <= self._listed:
             self._answer(sender, ask)
@@ -211,9 +211,9 @@
         except LogError as exc:
             log.info("list not read", extra={"error": str(exc)})
 
-    def _answer(self, sender: str, ask: ViewAsk) -> None:
-        reply = ViewReply(ask.ask, ask.incarnation, False)
+    def _answer(self, sender: str, ask: ViewRequest) -> None:
+        reply = ViewReply(ask.request_id, ask.incarnation, False)
         if ask.offset <= self._listed:
             members = [(each.name, each.address) for each in self._members]
-            reply = ViewReply(ask.ask, ask.incarnation, True, self._listed, members=members)
+            reply = ViewReply(ask.request_id, ask.incarnation, True, self._listed, members=members)
         self._sharing.send(sender, reply)
--- a/umberhitch/tasks/direct/peers.py
+++ b/umberhitch/tasks/direct/peers.py
@@ -18,18 +18,18 @@
 from umberhitch.tasks.direct.membership import Membership, MembershipLimits
 from umberhitch.tasks.direct.sharing import Sharing
 from umberhitch.wire import (
-    BurnAsk,
     BurnReply,
-    CrashNews,
-    EndpointNews,
+    BurnRequest,
+    CanaryUpdate,
+    CrashUpdate,
+    EndpointUpdate,
     EndpointUse,
     Message,
     PeerReport,
-    ProbeAsk,
     ProbeReply,
-    TrialNews,
-    ViewAsk,
+    ProbeRequest,
     ViewReply,
+    ViewRequest,
 )
 
 __all__ = ["DirectPeers", "DirectPeersLimits"]
@@ -161,11 +161,11 @@
             self._link.connect(name, address)
         came = found.keys() - self._known.keys()
         self._known = found
-        self._gateway.gate.shares.take_routers([self._me.name, *found])
+        self._gateway.gate.shares.set_routers([self._me.name, *found])
         if came:
             self._introduce(came)
         self._is_listed = True
-        self._gateway.budget.routers = 1 + len(found)
+        self._gateway.budget.router_count = 1 + len(found)
         log.info("peers", extra={"names": sorted(found)})
 
     def _introduce(self, names: Iterable[str]) -> None:
@@ -184,7 +184,7 @@
         self._seq += 1
         uses = [
             EndpointUse(endpoint, running, round(reading_s, 4), rank)
-            for endpoint, (running, reading_s, rank) in self._gateway.placement.own().items()
+            for endpoint, (running, reading_s, rank) in self._gateway.placement.own_load().items()
         ]
         return PeerReport(
             self._me.name,
@@ -261,7 +261,7 @@
         """Return the newest reports of the peers that were heard lately."""
         for name in [n for n, heard in self._heard.items() if self._is_silent(heard)]:
             heard = self._heard.pop(name)
-            if heard.report.returns_s:
+            if heard.report.retry_after_s:
                 self._left[name] = heard
         return [heard.report for heard in self._heard.values()]
 
@@ -293,9 +293,9 @@
         A peer that said when it will be back is believed until then, also while it is silent.
         """
         now_s = self._clock.seconds()
-        back_s = {n: each.at_s + each.report.returns_s for n, each in self._left.items()}
+        back_s = {n: each.at_s + each.report.retry_after_s for n, each in self._left.items()}
         self._left = {n: each for n, each in self._left.items() if back_s[n] > now_s}
-        heard = [each.at_s + each.report.returns_s for each in self._heard.values()]
+        heard = [each.at_s + each.report.retry_after_s for each in self._heard.values()]
         waits = [max(0.0, each - now_s) for each in (*heard, *(back_s[n] for n in self._left))]
         return min(waits, default=0.0)
 
@@ -307,9 +307,9 @@
             for each in gateway.directory.of_service(service)
             if each.entry.version != version
         }
-        own = sum(gateway.placement.running(each) for each in old)
+        own = sum(gateway.placement.running_calls(each) for each in old)
         theirs = sum(
-            use.running for report in self.live() for use in report.uses if use.endpoint in old
+            use.running for report in self.live() for use in report.uses if use.lifetime in old
         )
         return own + theirs
 
@@ -319,16 +319,18 @@
         totals: dict[str, EndpointUse] = {}
         for report in reports:
             for use in report.uses:
-                known = totals.get(use.endpoint)
-                totals[use.endpoint] = use if known is None else _sum(known, use)
+                known = totals.get(use.lifetime)
+                totals[use.lifetime] = use if known is None else _sum(known, use)
         now_s = self._clock.seconds()
         for lifetime in self._gateway.directory.lifetimes():
             use = totals.get(lifetime, EndpointUse(lifetime, 0, 0.0))
-            self._gateway.placement.others(lifetime, use.running, use.reading_s, use.rank, now_s)
+            self._gateway.placement.update_peer_load(
+                lifetime, use.running, use.reading_s, use.rank, now_s
+            )
         routers = 1 + max(len(reports), len(self._known))
         if self._is_listed:
-            self._gateway.budget.routers = routers
-        self._gateway.demand.routers = routers
+            self._gateway.budget.router_count = routers
+        self._gateway.demand.router_count = routers
 
     def receive(self, sender: str, messages: list[Message]) -> None:
         """Handle what another router sent."""
@@ -336,17 +338,17 @@
             match message:
                 case PeerReport():
                     self._on_report(message)
-                case BurnAsk() if self._gateway.burn is not None:
+                case BurnRequest() if self._gateway.burn is not None:
                     self._gateway.burn.answer(sender, message)
                 case BurnReply() if self._gateway.burn is not None:
                     self._gateway.burn.take(sender, message)
-                case TrialNews():
+                case CanaryUpdate():
                     self._gateway.trials.note_news(message)
-                case CrashNews() | ProbeAsk() | ProbeReply():
+                case CrashUpdate() | ProbeRequest() | ProbeReply():
                     self._gateway.crashes.receive(sender, message)
-                case EndpointNews():
+                case EndpointUpdate():
                     self._gateway.gate.sharing.receive(sender, message)
-                case ViewAsk() | ViewReply():
+                case ViewRequest() | ViewReply():
                     self._sharing.receive(sender, message)
                 case _:
                     log.warning("unexpected message", extra={"kind": type(message).__name__})
@@ -359,12 +361,12 @@
         self._heard[report.router] = _Heard(report, self._clock.seconds())
         self._link_mbps[report.router] = report.link_mbps
         self._left.pop(report.router, None)
-        self._gateway.trials.take(f"{report.router}.{report.incarnation}", report.trials)
+        self._gateway.trials.take(f"{report.router}.{report.incarnation}", report.canaries)
 
 
 def _sum(one: EndpointUse, other: EndpointUse) -> EndpointUse:
     return EndpointUse(
-        one.endpoint,
+        one.lifetime,
         one.running + other.running,
         one.reading_s + other.reading_s,
         max(one.rank, other.rank),
--- a/umberhitch/tasks/direct/probing.py
+++ b/umberhitch/tasks/direct/probing.py
@@ -11,7 +11,7 @@
 
 from umberhitch.ports.clock import Clock, Timer
 from umberhitch.tasks.direct.crash_sharing import CrashSharing
-from umberhitch.wire import ProbeAsk, ProbeReply
+from umberhitch.wire import ProbeReply, ProbeRequest
 
 __all__ = ["Probing"]
 
@@ -72,7 +72,7 @@
         self._asked[number] = _Asked(done, timer)
         for news in self._sharing.news_of(key):
             self._sharing.send(arbiter, news)  # it may not have heard of it
-        self._sharing.send(arbiter, ProbeAsk(number, key, place, lease_s))
+        self._sharing.send(arbiter, ProbeRequest(number, key, place, lease_s))
 
     def _decide(self, key: str, place: str, lease_s: float) -> float | None:
         now_s = self._clock.seconds()
@@ -84,14 +84,14 @@
         self._sharing.probed(key, place, hold.probes + 1, lease_s)
         return None
 
-    def on_ask(self, sender: str, message: ProbeAsk) -> None:
+    def on_ask(self, sender: str, message: ProbeRequest) -> None:
         """Decide on a probe that another router asks for."""
-        retry_s = self._decide(message.key, message.place, message.lease_s)
-        self._sharing.send(sender, ProbeReply(message.ask, retry_s is None, retry_s or 0.0))
+        retry_s = self._decide(message.key, message.service_version, message.lease_s)
+        self._sharing.send(sender, ProbeReply(message.request_id, retry_s is None, retry_s or 0.0))
 
     def on_reply(self, message: ProbeReply) -> None:
         """Take the answer to an ask of this router."""
-        self._finish(message.ask, None if message.is_granted else message.retry_s)
+        self._finish(message.request_id, None if message.is_granted else message.retry_after_s)
 
     def _finish(self, number: int, retry_s: float | None) -> None:
         asked = self._asked.pop(number, None)
--- a/umberhitch/tasks/direct/relay.py
+++ b/umberhitch/tasks/direct/relay.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from umberhitch.core.direct import EventCutter, ReplyHead
+from umberhitch.core.direct import EventSplitter, ReplyHead
 from umberhitch.ports.direct import CallerReply
 
 __all__ = ["Relay"]
@@ -39,7 +39,7 @@
         self._reply = reply
         self._pause = pause
         self._resume = resume
-        self._cutter = EventCutter(last_event)
+        self._cutter = EventSplitter(last_event)
         self._held = bytearray()
         self._is_passing = False
 
@@ -51,7 +51,7 @@
     @property
     def is_whole(self) -> bool:
         """Whether no piece of an event is held back."""
-        return self._cutter.is_clean
+        return self._cutter.is_at_boundary
 
     @property
     def last_event(self) -> bytes | None:
@@ -69,7 +69,7 @@
 
     def call_broken(self) -> None:
         """Forget the piece of an event that is held back: its run has ended."""
-        self._cutter.drop()
+        self._cutter.discard_partial()
 
     def begin_stream(self, head: ReplyHead) -> None:
         """Begin a stream with the head of its first endpoint."""
@@ -77,7 +77,7 @@
         self._begin(head)
 
     def _begin(self, head: ReplyHead) -> None:
-        self._reply.on_pressure(self._pause, self._resume)
+        self._reply.set_flow_control(self._pause, self._resume)
         self._reply.head(head.status, head.headers)
 
     def stream_data(self, data: bytes) -> bool:
--- a/umberhitch/tasks/direct/send_gate.py
+++ b/umberhitch/tasks/direct/send_gate.py
@@ -13,14 +13,14 @@
 from xxhash import xxh3_64_intdigest
 
 from umberhitch.core.direct import (
+    AdvertisedLimit,
+    AdvertisedLimits,
     ClosedEndpoints,
     ColdLimits,
     Endpoint,
     FleetShare,
     LimitChange,
     LimitRules,
-    NamedLimit,
-    NamedLimits,
     ReplyHead,
     Service,
     SignalKind,
@@ -66,7 +66,7 @@
     Attributes
     ----------
     shares : FleetShare
-    limits : NamedLimits
+    limits : AdvertisedLimits
     closed : ClosedEndpoints
     sharing : SignalSharing
     unknown : UnknownHeaders
@@ -84,7 +84,7 @@
         rules: LimitRules | None = None,
     ) -> None:
         self.shares = FleetShare(name)
-        self.limits = NamedLimits()
+        self.limits = AdvertisedLimits()
         self.unknown = UnknownHeaders()
         self.rules = rules or LimitRules()
         self.closed = ClosedEndpoints(name)
@@ -111,7 +111,7 @@
 
     def look(self) -> None:
         """Look at the seat; to be called each second."""
-        self.shares.look(self._is_settled(), self._clock.seconds())
+        self.shares.update_registration(self._is_settled(), self._clock.seconds())
 
     def forget(self, lifetimes: Iterable[str]) -> None:
         """Keep only what concerns endpoints that are still known."""
@@ -128,7 +128,7 @@
         if not self.closed:
             return None
         now_s = self._clock.seconds()
-        return lambda endpoint: self.closed.takes(endpoint.lifetime, now_s)
+        return lambda endpoint: self.closed.accepts(endpoint.lifetime, now_s)
 
     def has_bounds(self, service: Service | None) -> bool:
         """Whether any endpoint of a service may have a bound."""
@@ -154,7 +154,7 @@
     def _bears_cold(self, endpoint: Endpoint, rate: float, now_s: float) -> bool:
         if not rate or not endpoint.is_cold(now_s):
             return True
-        if not self.shares.is_settled:
+        if not self.shares.is_registered:
             return False
         wait_s = self.shares.wait_s(endpoint.lifetime, self._cold.bound(rate), now_s)
         self.cold_used_up += 0.0 < wait_s < inf
@@ -169,13 +169,15 @@
         self.limit_used_up += not is_free
         return is_free
 
-    def _limit_wait_s(self, lifetime: str, limit: NamedLimit, kept: int, now_s: float) -> float:
-        if not self.shares.knows_list(now_s):
+    def _limit_wait_s(
+        self, lifetime: str, limit: AdvertisedLimit, kept: int, now_s: float
+    ) -> float:
+        if not self.shares.has_router_list(now_s):
             return inf
         return self.shares.wait_s(lifetime, self.rules.bound(limit.rate), now_s, kept)
 
-    def _may_look(self, limit: NamedLimit, now_s: float) -> bool:
-        return self.limits.may_look(limit, self.shares.routers, self._jitter, now_s)
+    def _may_look(self, limit: AdvertisedLimit, now_s: float) -> bool:
+        return self.limits.may_recheck(limit, self.shares.router_count, self._jitter, now_s)
 
     def _kept(self, service: str, urgency: Urgency, now_s: float) -> int:
         """Return how much of a share is left: for a more urgent call that found none of late."""
@@ -199,7 +201,7 @@
         now_s = self._clock.seconds()
         self.shares.note_sent(endpoint.lifetime, now_s)
         if limit is not None:
-            limit.looked_s = now_s
+            limit.rechecked_s = now_s
 
     def come_back_s(
         self,
@@ -241,7 +243,7 @@
         self, service: str, first_s: float, rates: list[float], now_s: float
     ) -> float:
         """Return the next time at which the limits let a caller of this router through."""
-        gap_s = self.shares.routers / sum(rates)
+        gap_s = self.shares.router_count / sum(rates)
         first_s = max(LEAST_RETRY_S, gap_s if first_s == inf else first_s)
         return max(now_s + first_s, self._promised_s.get(service, now_s) + gap_s)
 
@@ -256,34 +258,36 @@
 
     def heard(self, lifetime: str, head: ReplyHead) -> None:
         """Take what the head of any reply of an endpoint says."""
-        if head.is_elsewhere:
+        if head.is_wrong_incarnation:
             return
         now_s = self._clock.seconds()
         self.unknown.note(lifetime, head.signals)
-        if head.signals.is_draining and self.closed.take_leaving(lifetime, now_s, OWN_WORD, now_s):
+        if head.signals.is_draining and self.closed.apply_draining(
+            lifetime, now_s, OWN_WORD, now_s
+        ):
             self._has_left(lifetime, OWN_WORD)
             self.sharing.has_left(lifetime)
         self._hear_rest(lifetime, head, now_s)
         self._hear_limit(lifetime, head, now_s)
 
     def _has_left(self, lifetime: str, source: str) -> None:
-        self._log(lifetime, SignalKind.LEAVING, "begun", source)
+        self._log(lifetime, SignalKind.DRAINING, "begun", source)
         self.on_leaving(lifetime)
 
     def _hear_rest(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
         rest_s = head.signals.backoff_s
         if rest_s is not None:
-            if self.closed.take_rest(lifetime, rest_s, self.shares.routers, now_s):
-                self._log(lifetime, SignalKind.REST, "begun", OWN_WORD, rest_s=rest_s)
-        elif not head.not_run and self.closed.answered(lifetime, now_s):
-            self._log(lifetime, SignalKind.REST, "ended", OWN_WORD)
+            if self.closed.apply_backoff(lifetime, rest_s, self.shares.router_count, now_s):
+                self._log(lifetime, SignalKind.BACKOFF, "begun", OWN_WORD, rest_s=rest_s)
+        elif not head.not_run and self.closed.note_answer(lifetime, now_s):
+            self._log(lifetime, SignalKind.BACKOFF, "ended", OWN_WORD)
 
     def _hear_limit(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
         limit = head.signals.limit
-        rate = limit.a_second
-        if limit.is_unclear or (rate is None and (head.not_run or not len(self.limits))):
+        rate = limit.per_second
+        if limit.is_malformed or (rate is None and (head.not_run or not len(self.limits))):
             return  # a refusal that names none may be in short; an answer tells that it is over
-        change = self.limits.heard(lifetime, rate, now_s)
+        change = self.limits.apply_answer(lifetime, rate, now_s)
         if change is not LimitChange.NONE:
             self._limit_changed(lifetime, change, OWN_WORD)
             self.sharing.limit_changed(lifetime)
@@ -294,10 +298,10 @@
             self._log(lifetime, SignalKind.LIMIT, change.value, source)
             return
         bound = self.rules.bound(limit.rate)
-        if change is LimitChange.BEGUN:
+        if change is LimitChange.STARTED:
             self.look()
             self.shares.assume_used(lifetime, bound, self._clock.seconds())
-        share = self.shares.most(lifetime, bound)
+        share = self.shares.quota(lifetime, bound)
         self._log(lifetime, SignalKind.LIMIT, change.value, source, rate=limit.rate, share=share)
 
     def _log(
--- a/umberhitch/tasks/direct/services.py
+++ b/umberhitch/tasks/direct/services.py
@@ -5,11 +5,11 @@
 
 from umberhitch.core.direct import (
     AnswerVerdict,
-    Ask,
+    CallerRequest,
+    Candidate,
     Customer,
     Endpoint,
-    Offer,
-    Placed,
+    PlacedCall,
     ReplyHead,
     Route,
     RouteKind,
@@ -64,7 +64,7 @@
 class Permit:
     """What the configuration says of a request that it admits."""
 
-    ask: Ask
+    ask: CallerRequest
     route: Route
     service: str
     customer: Customer | None
@@ -165,7 +165,7 @@
         """Return the model to ask instead, or None to keep the answer."""
         ...
 
-    def endpoint(self, permit: Permit, model: str | None, tried: set[str]) -> Offer | None:
+    def endpoint(self, permit: Permit, model: str | None, tried: set[str]) -> Candidate | None:
         """Return where a call goes, or None where no endpoint takes work."""
         ...
 
@@ -224,7 +224,7 @@
 
     def send(
         self, permit: Permit, endpoint: Endpoint, model: str | None, call: RequestState
-    ) -> tuple[RunningCall, Placed]:
+    ) -> tuple[RunningCall, PlacedCall]:
         """Send the request to an endpoint."""
         ...
 
@@ -262,7 +262,7 @@
         """Take note that another incarnation has the endpoint's address."""
         ...
 
-    def began(self, placed: Placed, head: ReplyHead) -> None:
+    def began(self, placed: PlacedCall, head: ReplyHead) -> None:
         """Take note that a reply has begun."""
         ...
 
@@ -270,7 +270,7 @@
         """Take note of a reply of an endpoint to a call that nobody waits for any more."""
         ...
 
-    def release(self, placed: Placed, is_failure: bool | None) -> None:
+    def release(self, placed: PlacedCall, is_failure: bool | None) -> None:
         """Count a call no more."""
         ...
 
--- a/umberhitch/tasks/direct/shared_view.py
+++ b/umberhitch/tasks/direct/shared_view.py
@@ -20,7 +20,7 @@
 from umberhitch.tasks.direct.feeds import Feed
 from umberhitch.tasks.direct.sharing import Sharing, StreamName
 from umberhitch.tasks.direct.telling import ChangeTeller, EntryTeller, Teller
-from umberhitch.wire import ViewAsk, ViewReply
+from umberhitch.wire import ViewReply, ViewRequest
 
 __all__ = ["SharedView", "SharingLimits", "share_stream"]
 
@@ -95,7 +95,7 @@
     """An ask that waits for a change."""
 
     sender: str
-    ask: ViewAsk
+    ask: ViewRequest
     received_s: float
     timer: Timer
 
@@ -167,29 +167,29 @@
         self._feed = feed
         feed.on_taken = self._note
 
-    async def newest(self, patience_s: float) -> FeedBatch[Value]:
+    async def newest(self, timeout_s: float) -> FeedBatch[Value]:
         """Return the newest record of every key, from the store."""
         called_s = self._clock.seconds()
         if self._log.floor >= 0:
             self._on_begun()  # what had come is replaced by something newer
         try:
-            batch = await self._port.newest(patience_s)
+            batch = await self._port.newest(timeout_s)
         finally:
             self._stop_early()
-        return replace(batch, proved_s=called_s)
+        return replace(batch, as_of_s=called_s)
 
     async def since(
         self,
         offset: int,
         wait_s: float,
-        patience_s: float,
-        on_begun: Callable[[], None] = do_nothing,
+        timeout_s: float,
+        on_response_start: Callable[[], None] = do_nothing,
     ) -> FeedBatch[Value]:
         """Return what has changed, from a peer if one can tell, else from the store."""
         reader = self._reader()
         peer = self._other_peer() if reader is None else reader
         if peer is None:
-            return await self._since_by_store(offset, wait_s, patience_s)
+            return await self._since_by_store(offset, wait_s, timeout_s)
         found = await self._ask(peer, offset, self._hold_s(reader))
         if found in (_Word.NOTHING, _Word.STALE) and not self._is_failing:
             found = await self._ask_next(peer, offset) or found
@@ -199,12 +199,12 @@
                 return batch
             case _Word.NEWS:
                 self._note_news()
-                return await self._since_by_store(offset, 0.0, patience_s)
+                return await self._since_by_store(offset, 0.0, timeout_s)
             case _Word.STALE if self._is_failing and reader is not None:
                 self._vain_asks += 1
                 if self._vain_asks % self._limits.asks_a_call:
                     raise LogUnavailableError("neither the store nor the reader can tell")
-        batch = await self._since_by_store(offset, 0.0, patience_s)
+        batch = await self._since_by_store(offset, 0.0, timeout_s)
         self._shun(peer)  # the store could tell what the peer could not
         return batch
 
@@ -265,7 +265,7 @@
         self, reply: ViewReply | None, called_s: float, offset: int
     ) -> "FeedBatch[Value] | _Word":
         """Return what a peer's answer brings, or why it is of no use."""
-        if reply is None or not reply.is_known:
+        if reply is None or not reply.is_offset_known:
             return _Word.NOTHING
         # The peer looked at its view after it had got the ask, and after it had held it.
         proved_s = called_s + reply.held_s - reply.age_s
@@ -275,7 +275,7 @@
         records = self._teller.take(reply, self._log.newest) if reply.end > offset else ()
         if records is None:
             return _Word.NEWS
-        return FeedBatch(records, max(offset, reply.end), proved_s, 0.0, reply.was_away)
+        return FeedBatch(records, max(offset, reply.end), proved_s, 0.0, reply.is_after_outage)
 
     async def _since_by_store(
         self, offset: int, wait_s: float, patience_s: float
@@ -303,7 +303,7 @@
         proved_s = called_s
         if wait_s and not batch.records and self._clock.seconds() - called_s >= wait_s:
             proved_s = called_s + wait_s - HOLD_MARGIN_S
-        return replace(batch, proved_s=proved_s, pause_s=pause_s)
+        return replace(batch, as_of_s=proved_s, next_call_delay_s=pause_s)
 
     def _leave_alone(self) -> None:
         """Put off the next call to the store, as long as others tell what is new."""
@@ -355,7 +355,7 @@
                 held.timer.cancel()
             self._answer(held)
 
-    def _has_news(self, ask: ViewAsk) -> bool:
+    def _has_news(self, ask: ViewRequest) -> bool:
         if self._feed is None or not self._log.covers(ask.offset):
             return True  # it cannot be told, which is to be known at once
         if not self._teller.tells_all:
@@ -367,39 +367,43 @@
         assert self._feed is not None
         return self._feed.offset + (self._is_reading and not self._teller.tells_all)
 
-    def on_ask(self, sender: str, ask: ViewAsk) -> None:
+    def on_ask(self, sender: str, ask: ViewRequest) -> None:
         """Answer what a peer asks, at once or when something has changed."""
         now_s = self._clock.seconds()
         self._asked_s = now_s
-        timer = self._clock.callLater(ask.hold_s, self._on_held, sender, ask.ask)
+        timer = self._clock.callLater(ask.hold_s, self._on_held, sender, ask.request_id)
         held = _HeldAsk(sender, ask, now_s, timer)
         self._held.append(held)
         has_proof = not self._retry_s and not self._is_stale()
-        if self._has_news(ask) or not self._can_tell(ask) or (ask.is_patient and has_proof):
+        if (
+            self._has_news(ask)
+            or not self._can_tell(ask)
+            or (ask.is_held_during_outage and has_proof)
+        ):
             timer.cancel()
             self._answer(held)
 
-    def _can_tell(self, ask: ViewAsk) -> bool:
+    def _can_tell(self, ask: ViewRequest) -> bool:
         """Whether this router is worth waiting for: not while the store turns it away.
 
         Else those who ask it wait for it while it asks them.
         """
-        return ask.is_patient or self._clock.seconds() >= self._next_call_s
+        return ask.is_held_during_outage or self._clock.seconds() >= self._next_call_s
 
     def _on_held(self, sender: str, number: int) -> None:
-        for held in [e for e in self._held if (e.sender, e.ask.ask) == (sender, number)]:
+        for held in [e for e in self._held if (e.sender, e.ask.request_id) == (sender, number)]:
             self._answer(held)
 
     def _answer(self, held: _HeldAsk) -> None:
         self._held.remove(held)
         ask, feed, now_s = held.ask, self._feed, self._clock.seconds()
-        reply = ViewReply(ask.ask, ask.incarnation, False)
+        reply = ViewReply(ask.request_id, ask.incarnation, False)
         is_covered = self._log.covers(ask.offset)
         can_tell = self._has_news(ask) or self._can_tell(ask)
         if can_tell and feed is not None and feed.proved_s is not None:
             if is_covered or not self._teller.tells_all:
                 reply = ViewReply(
-                    ask.ask,
+                    ask.request_id,
                     ask.incarnation,
                     True,
                     self._end(),
--- a/umberhitch/tasks/direct/sharing.py
+++ b/umberhitch/tasks/direct/sharing.py
@@ -18,7 +18,7 @@
 from twisted.internet.defer import Deferred
 
 from umberhitch.ports.clock import Clock, Timer
-from umberhitch.wire import Message, ViewAsk, ViewReply
+from umberhitch.wire import Message, ViewReply, ViewRequest
 
 __all__ = ["READER_GROUP", "Answerer", "Sharing", "StreamName"]
 
@@ -40,7 +40,7 @@
 class Answerer(Protocol):
     """Answers what peers ask of one stream."""
 
-    def on_ask(self, sender: str, ask: ViewAsk) -> None:
+    def on_ask(self, sender: str, ask: ViewRequest) -> None:
         """Answer, at once or later."""
         ...
 
@@ -133,21 +133,21 @@
         done: Deferred[ViewReply | None] = Deferred()
         timer = self.clock.callLater(hold_s + patience_s, self._give_up, number)
         self._asked[number] = _Asked(done, timer)
-        self.send(peer, ViewAsk(number, self.incarnation, stream, offset, hold_s, is_patient))
+        self.send(peer, ViewRequest(number, self.incarnation, stream, offset, hold_s, is_patient))
         return done
 
     def _give_up(self, number: int) -> None:
         self._asked.pop(number).done.callback(None)
 
-    def receive(self, sender: str, message: ViewAsk | ViewReply) -> None:
+    def receive(self, sender: str, message: ViewRequest | ViewReply) -> None:
         """Handle what a peer sent."""
         match message:
-            case ViewAsk():
+            case ViewRequest():
                 answerer = self.answerers.get(message.stream)
                 if answerer is not None:
                     answerer.on_ask(sender, message)
             case ViewReply() if message.incarnation == self.incarnation:
-                asked = self._asked.pop(message.ask, None)
+                asked = self._asked.pop(message.request_id, None)
                 if asked is not None:
                     asked.timer.cancel()
                     asked.done.callback(message)
--- a/umberhitch/tasks/direct/signal_sharing.py
+++ b/umberhitch/tasks/direct/signal_sharing.py
@@ -8,10 +8,10 @@
 from logging import getLogger
 from math import inf
 
-from umberhitch.core.direct import ClosedEndpoints, LimitChange, NamedLimits
+from umberhitch.core.direct import AdvertisedLimits, ClosedEndpoints, LimitChange
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import do_nothing
-from umberhitch.wire import EndpointNews, LeavingTold, LimitTold
+from umberhitch.wire import DrainNotice, EndpointUpdate, LimitNotice
 
 __all__ = ["SignalSharing"]
 
@@ -35,7 +35,7 @@
     Parameters
     ----------
     clock : Clock
-    limits : NamedLimits
+    limits : AdvertisedLimits
     closed : ClosedEndpoints
     on_limit : callable
         Called with a lifetime, the change of its limit that a peer told, and the peer.
@@ -51,7 +51,7 @@
     def __init__(
         self,
         clock: Clock,
-        limits: NamedLimits,
+        limits: AdvertisedLimits,
         closed: ClosedEndpoints,
         on_limit: OnLimit,
         on_leaving: OnLeaving,
@@ -86,12 +86,12 @@
         self._news.add(lifetime)
         self.on_news()
 
-    def take_news(self) -> list[EndpointNews]:
+    def take_news(self) -> list[EndpointUpdate]:
         """Return what the peers are to be told at once, and were not."""
         news, self._news = self._news, set()
         return self._tell(sorted(news))
 
-    def news_again(self) -> list[EndpointNews]:
+    def news_again(self) -> list[EndpointUpdate]:
         """Return what is told again: some of what stands or has ended, in turn."""
         known = self._known()
         if not known:
@@ -99,42 +99,44 @@
         self._turn = (self._turn + MAX_AGAIN) % len(known)
         return self._tell((known[self._turn :] + known[: self._turn])[:MAX_AGAIN])
 
-    def all_news(self) -> list[EndpointNews]:
+    def all_news(self) -> list[EndpointUpdate]:
         """Return what a router is told that is new here."""
         return self._tell(self._known()[-MAX_TOLD:])
 
     def _known(self) -> list[str]:
-        if not len(self._limits) and not self._closed.leaving:
-            return list(self._limits.ended(self._clock.seconds()))
-        ended = self._limits.ended(self._clock.seconds())
+        if not len(self._limits) and not self._closed.draining:
+            return list(self._limits.recently_ended(self._clock.seconds()))
+        ended = self._limits.recently_ended(self._clock.seconds())
         limited = (lifetime for lifetime, _ in self._limits)
-        return list(dict.fromkeys([*self._closed.leaving, *limited, *ended]))
+        return list(dict.fromkeys([*self._closed.draining, *limited, *ended]))
 
-    def _tell(self, lifetimes: Iterable[str]) -> list[EndpointNews]:
+    def _tell(self, lifetimes: Iterable[str]) -> list[EndpointUpdate]:
         now_s = self._clock.seconds()
-        ended = self._limits.ended(now_s)
+        ended = self._limits.recently_ended(now_s)
         limits, leaving = [], []
         for lifetime in lifetimes:
-            limit, word = self._limits.get(lifetime), self._closed.leaving.get(lifetime)
+            limit, word = self._limits.get(lifetime), self._closed.draining.get(lifetime)
             if limit is not None:
-                limits.append(LimitTold(lifetime, round(now_s - limit.heard_s, 4), limit.rate))
+                limits.append(LimitNotice(lifetime, round(now_s - limit.received_s, 4), limit.rate))
             elif lifetime in ended:
-                limits.append(LimitTold(lifetime, round(now_s - ended[lifetime], 4), None))
+                limits.append(LimitNotice(lifetime, round(now_s - ended[lifetime], 4), None))
             if word is not None:
-                leaving.append(LeavingTold(lifetime, round(now_s - word.heard_s, 4)))
-        return [EndpointNews(limits, leaving)] if limits or leaving else []
+                leaving.append(DrainNotice(lifetime, round(now_s - word.received_s, 4)))
+        return [EndpointUpdate(limits, leaving)] if limits or leaving else []
 
-    def receive(self, sender: str, message: EndpointNews) -> None:
+    def receive(self, sender: str, message: EndpointUpdate) -> None:
         """Take what a peer tells."""
         now_s = self._clock.seconds()
         for told in message.limits:
             if told.rate is None:
-                change = self._limits.told_over(told.lifetime, told.age_s, now_s)
+                change = self._limits.apply_end_notice(told.lifetime, told.age_s, now_s)
             else:
-                change = self._limits.told(told.lifetime, told.rate, told.age_s, sender, now_s)
+                change = self._limits.apply_notice(
+                    told.lifetime, told.rate, told.age_s, sender, now_s
+                )
             if change is not LimitChange.NONE:
                 self._on_limit(told.lifetime, change, sender)
-        for left in message.leaving:
+        for left in message.draining:
             heard_s = now_s - max(0.0, left.age_s)
-            if self._closed.take_leaving(left.lifetime, heard_s, sender, now_s):
+            if self._closed.apply_draining(left.lifetime, heard_s, sender, now_s):
                 self._on_leaving(left.lifetime, sender)
--- a/umberhitch/tasks/direct/signal_table.py
+++ b/umberhitch/tasks/direct/signal_table.py
@@ -50,15 +50,15 @@
 
 
 def _leaving(gate: SendGate, now_s: float) -> Iterator[StandingSignal]:
-    for lifetime, word in gate.closed.leaving.items():
-        yield StandingSignal(lifetime, SignalKind.LEAVING, word.source, now_s - word.heard_s)
+    for lifetime, word in gate.closed.draining.items():
+        yield StandingSignal(lifetime, SignalKind.DRAINING, word.source, now_s - word.received_s)
 
 
 def _rests(gate: SendGate, now_s: float) -> Iterator[StandingSignal]:
-    for lifetime, rest in gate.closed.resting.items():
-        age_s, left_s = now_s - rest.heard_s, max(0.0, rest.until_s - now_s)
-        opens = {"opens_in_s": round(max(0.0, rest.opens_s - now_s), 3)}
-        yield StandingSignal(lifetime, SignalKind.REST, "its answer", age_s, left_s, opens)
+    for lifetime, rest in gate.closed.backoffs.items():
+        age_s, left_s = now_s - rest.received_s, max(0.0, rest.until_s - now_s)
+        opens = {"opens_in_s": round(max(0.0, rest.resume_s - now_s), 3)}
+        yield StandingSignal(lifetime, SignalKind.BACKOFF, "its answer", age_s, left_s, opens)
 
 
 def _limits(gate: SendGate, now_s: float) -> Iterator[StandingSignal]:
@@ -67,15 +67,15 @@
         details = {
             "rate": limit.rate,
             "known_for_s": round(now_s - limit.since_s, 3),
-            "share": gate.shares.most(lifetime, bound),
+            "share": gate.shares.quota(lifetime, bound),
             "share_window_s": round(gate.shares.window_s(bound), 3),
             "used": gate.shares.used(lifetime, bound, now_s),
         }
-        age_s = now_s - limit.heard_s
+        age_s = now_s - limit.received_s
         yield StandingSignal(lifetime, SignalKind.LIMIT, limit.source, age_s, None, details)
 
 
 def _cold(directory: Directory, now_s: float) -> Iterator[StandingSignal]:
-    for each in directory.cold(now_s):
-        left_s = max(each.cold_until_s, each.guarded_until_s) - now_s
+    for each in directory.cold_endpoints(now_s):
+        left_s = max(each.cold_until_s, each.presumed_cold_until_s) - now_s
         yield StandingSignal(each.lifetime, SignalKind.COLD, each.cold_source, None, left_s)
--- a/umberhitch/tasks/direct/store_view.py
+++ b/umberhitch/tasks/direct/store_view.py
@@ -159,12 +159,12 @@
 
     def _zone_out(self, key: str, zone: str) -> None:
         self._zones_out[key] = zone
-        if self.directory.zone_out(zone, self.clock.seconds()):
+        if self.directory.disable_zone(zone, self.clock.seconds()):
             log.info("zone out of service", extra={"zone": zone})
 
     def _zone_back(self, key: str) -> None:
         zone = self._zones_out.pop(key)
-        if self.directory.zone_back(zone, self.clock.seconds()):
+        if self.directory.enable_zone(zone, self.clock.seconds()):
             log.info("zone back in service", extra={"zone": zone})
 
     def _take_document(self, document: Document) -> None:
@@ -172,7 +172,7 @@
             return
         self.table = RouteTable(document)
         services = document.services.values()
-        self.directory.take_cold_starts({s.name: s.cold_start_s for s in services if s.cold_rate})
+        self.directory.set_cold_starts({s.name: s.cold_start_s for s in services if s.cold_rate})
         facts = {"number": document.number, "routes": len(document.routes)}
         log.info("configuration in force", extra=facts)
 
--- a/umberhitch/tasks/direct/stored_holds.py
+++ b/umberhitch/tasks/direct/stored_holds.py
@@ -90,9 +90,9 @@
     def _take(self, hold: StoredHold) -> None:
         now_s = self._clock.seconds()
         for lifetime in hold.lifetimes:
-            self._sharing.crashed(hold.key, Crash(lifetime, hold.place, now_s, now_s))
+            self._sharing.crashed(hold.key, Crash(lifetime, hold.service_version, now_s, now_s))
         if hold.probes:
-            self._sharing.probed(hold.key, hold.place, hold.probes, 0.0)
+            self._sharing.probed(hold.key, hold.service_version, hold.probes, 0.0)
 
     def write(self, key: str) -> None:
         """Let stand in the store what is known of a request now."""
@@ -119,9 +119,11 @@
         crashes = record.crashes(key)
         if not record.is_held(key):
             return None
-        probed = record.probed(key)
+        probed = record.last_probe(key)
         lifetimes = tuple(each.lifetime for each in crashes[: record.limits.crashes])
-        return StoredHold(key, crashes[0].place, lifetimes, 0 if probed is None else probed[1])
+        return StoredHold(
+            key, crashes[0].service_version, lifetimes, 0 if probed is None else probed[1]
+        )
 
 
 def _log_failure(failure: object) -> None:
--- a/umberhitch/tasks/direct/stored_states.py
+++ b/umberhitch/tasks/direct/stored_states.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from umberhitch.core.direct import RolloutState, Trial
+from umberhitch.core.direct import Canary, RolloutState
 from umberhitch.errors import LogError
 from umberhitch.ports.clock import Clock, pause
 from umberhitch.ports.direct import StatusPort, do_nothing
@@ -53,14 +53,14 @@
     """
 
     def __init__(
-        self, clock: Clock, status: StatusPort, on_final: Callable[[Trial, RolloutState], None]
+        self, clock: Clock, status: StatusPort, on_final: Callable[[Canary, RolloutState], None]
     ) -> None:
         self.rank: Callable[[], int | None] = lambda: 0
         self.on_untold: Callable[[], None] = do_nothing
         self._clock = clock
         self._status = status
         self._on_final = on_final
-        self._trials: dict[str, Trial] = {}
+        self._trials: dict[str, Canary] = {}
         self._settling: set[str] = set()
         self._unread: set[str] = set()
         """Services of whose roll-out it is not known yet whether it was decided before."""
@@ -72,7 +72,7 @@
         """Services of which the others have not been told yet what stands."""
         self._is_stopped = False
 
-    def begin(self, trial: Trial) -> None:
+    def begin(self, trial: Canary) -> None:
         """Follow a roll-out that was ordered."""
         service = trial.order.service
         self.drop(service)
@@ -110,12 +110,12 @@
         """Take note that a peer follows the same order."""
         self._unread.discard(service)
 
-    def note_told(self, trial: Trial, state: str) -> None:
+    def note_told(self, trial: Canary, state: str) -> None:
         """Take note of a state that a peer found or wrote; empty where it did not."""
         if state in STATES and self._trials.get(trial.order.service) is trial:
             self._note_written(trial, RolloutState(state))
 
-    def _note_written(self, trial: Trial, state: RolloutState) -> None:
+    def _note_written(self, trial: Canary, state: RolloutState) -> None:
         service = trial.order.service
         self._unread.discard(service)
         if self._written.get(service) in FINAL_STATES:
@@ -126,7 +126,7 @@
 
     # Writing
 
-    def settle(self, trial: Trial, state: RolloutState) -> None:
+    def settle(self, trial: Canary, state: RolloutState) -> None:
         """Let a state stand, unless one does that says as much."""
         service = trial.order.service
         if service in self._settling or not self._is_wanted(trial, state):
@@ -138,7 +138,7 @@
         )
         done.addBoth(lambda result: self._settling.discard(service))
 
-    def _is_wanted(self, trial: Trial, state: RolloutState) -> bool:
+    def _is_wanted(self, trial: Canary, state: RolloutState) -> bool:
         """Whether a state is still to be written: none stands, or it is final and none is."""
         service = trial.order.service
         if self._is_stopped or self._trials.get(service) is not trial:
@@ -146,7 +146,7 @@
         stands = self._written.get(service)
         return stands is None or (state in FINAL_STATES and stands not in FINAL_STATES)
 
-    async def _write(self, trial: Trial, state: RolloutState) -> None:
+    async def _write(self, trial: Canary, state: RolloutState) -> None:
         """Read what stands, and write the state unless a final one stands already."""
         service, target = trial.order.service, trial.order.target
         await self._wait_for_turn(trial, state)
@@ -165,7 +165,7 @@
                 log.warning("roll-out state not written", extra={"error": str(exc)})
                 await pause(self._clock, RETRY_S)
 
-    async def _wait_for_turn(self, trial: Trial, state: RolloutState) -> None:
+    async def _wait_for_turn(self, trial: Canary, state: RolloutState) -> None:
         """Wait until the routers before this one had time, or one of them tells what stands."""
         began_s = self._clock.seconds()
         while self._is_wanted(trial, state):
@@ -176,7 +176,7 @@
                 return
             await pause(self._clock, min(TURN_S, left_s))
 
-    def _note_proved(self, trial: Trial, state: RolloutState) -> None:
+    def _note_proved(self, trial: Canary, state: RolloutState) -> None:
         """Take note of what stands in the store, and tell the others."""
         service = trial.order.service
         if self._trials.get(service) is not trial:
--- a/umberhitch/tasks/direct/telling.py
+++ b/umberhitch/tasks/direct/telling.py
@@ -11,7 +11,7 @@
     DocumentChange,
     EndpointEntry,
     apply_change,
-    change_between,
+    diff_documents,
 )
 from umberhitch.errors import FrameError
 from umberhitch.ports.direct import FeedRecord, OperatorValue
@@ -93,7 +93,7 @@
         if isinstance(value, Document):
             if not isinstance(known, Document):
                 return None
-            told = change_between(known, value)
+            told = diff_documents(known, value)
         packed = pack_value(told)
         return packed if len(packed) <= most_bytes else None
 
--- a/umberhitch/tasks/direct/tests/test_cold.py
+++ b/umberhitch/tasks/direct/tests/test_cold.py
@@ -177,4 +177,4 @@
     for _ in range(5):
         world.ask(router, "/look/x")
     world.run(0.2)
-    assert router.gateway.gate.shares._sent == {}
+    assert router.gateway.gate.shares._send_times == {}
--- a/umberhitch/tasks/direct/tests/test_crash_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_crash_mutations.py
@@ -6,7 +6,7 @@
 
 from umberhitch.core.direct import CrashRecord
 from umberhitch.fakes import FakeEndpoints, Reply
-from umberhitch.ports.direct import Listening
+from umberhitch.ports.direct import ListenerStatus
 from umberhitch.tasks.direct.crash_guard import CrashGuard
 from umberhitch.tasks.direct.crash_sharing import CrashSharing
 from umberhitch.tasks.direct.crash_watch import CrashWatch
@@ -56,7 +56,9 @@
     patch.setattr(
         FakeEndpoints,
         "check",
-        lambda self, address, on_found: check(self, address, lambda found: on_found(Listening.YES)),
+        lambda self, address, on_found: check(
+            self, address, lambda found: on_found(ListenerStatus.YES)
+        ),
     )
     patch.setattr(CrashWatch, "ended", lambda self, endpoint: None)
 
--- a/umberhitch/tasks/direct/tests/test_crash_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_crash_sharing.py
@@ -7,7 +7,7 @@
 
 from umberhitch.fakes import Reply
 from umberhitch.testing import CrashingFleet
-from umberhitch.wire import CrashNews, ProbeAsk, ProbeReply
+from umberhitch.wire import CrashUpdate, ProbeReply, ProbeRequest
 
 STREAM = Reply(events=8, gap_s=0.05)
 
@@ -59,7 +59,7 @@
     _play(fleet, 2.0, 20.0)
     decided = []
     fleet.world.network.drop_where(
-        lambda _, __, message: isinstance(message, ProbeAsk | ProbeReply)
+        lambda _, __, message: isinstance(message, ProbeRequest | ProbeReply)
     )
     sent = len(fleet.sends_s())
     for number in range(8):
@@ -77,7 +77,7 @@
     fleet = CrashingFleet(routers=6, reply=STREAM)
     news = []
     fleet.world.network.drop_where(
-        lambda _, __, message: isinstance(message, CrashNews) and news.append(message)
+        lambda _, __, message: isinstance(message, CrashUpdate) and news.append(message)
     )
     fleet.every(0.05, 3.0, lambda n: fleet.ask(n, "/draft/x", body=b"other %d" % n))
     fleet.world.run(5.0)
--- a/umberhitch/tasks/direct/tests/test_leaving_and_rest.py
+++ b/umberhitch/tasks/direct/tests/test_leaving_and_rest.py
@@ -24,7 +24,7 @@
     sent_after_leaving,
     sent_while_resting,
 )
-from umberhitch.wire import EndpointNews, LeavingTold
+from umberhitch.wire import DrainNotice, EndpointUpdate
 
 CROWD = 40.0
 """Requests a second."""
@@ -126,7 +126,7 @@
 
 def _knows(world: DirectWorld, name: str = "r000") -> set[str]:
     closed = world.routers[name].gateway.gate.closed
-    return {*closed.leaving, *closed.resting}
+    return {*closed.draining, *closed.backoffs}
 
 
 REFUSED = Reply(status=503, not_run=True, is_signed=False, backoff_s=30.0)
@@ -192,7 +192,7 @@
     assert _knows(world) == set()
 
 
-@pytest.mark.parametrize("signals", [HeadSignals(unclear=("x",)), HeadSignals(backoff_s=0.0)])
+@pytest.mark.parametrize("signals", [HeadSignals(malformed=("x",)), HeadSignals(backoff_s=0.0)])
 def test_an_odd_word_and_a_time_of_zero_close_nothing(signals: HeadSignals):
     world, _ = _one_router(Reply(), _quiet)
     router = world.routers["r000"]
@@ -208,7 +208,7 @@
     router = world.routers["r000"]
     world.ask(router, "/look/x")
     world.run(0.1)
-    router.gateway.gate.heard("l0", ReplyHead(200, signals=HeadSignals(unclear=("x",))))
+    router.gateway.gate.heard("l0", ReplyHead(200, signals=HeadSignals(malformed=("x",))))
     assert world.ask(router, "/look/x").status == 503
     assert len(endpoint.calls) == 1
 
@@ -243,7 +243,7 @@
     world, (leaving,) = _world(20, 2, 1)
     _leaves(leaving)
     world.network.drop_where(
-        lambda sender, receiver, message: isinstance(message, EndpointNews) and receiver == "r007"
+        lambda sender, receiver, message: isinstance(message, EndpointUpdate) and receiver == "r007"
     )
     while not leaving.drain_words:
         world.ask(world.routers["r000"], "/look/x")
@@ -285,7 +285,7 @@
     world.add_endpoint("l0", born=5)
     world.run(1.2)
     sharing = world.routers["r000"].gateway.gate.sharing
-    sharing.receive("r001", EndpointNews([], [LeavingTold("l0", 30.0), LeavingTold("l0@4", 9.0)]))
+    sharing.receive("r001", EndpointUpdate([], [DrainNotice("l0", 30.0), DrainNotice("l0@4", 9.0)]))
     ask = world.ask(world.routers["r000"], "/look/x")
     world.run(0.1)
     assert ask.status == 200
@@ -294,10 +294,13 @@
 def test_the_home_of_a_prompt_moves_on_at_every_router():
     world, _ = _world(4, 0, 3)
     router = world.routers["r000"].gateway
-    home = router.directory.home("svc", "part")
+    home = router.directory.affinity_endpoint("svc", "part")
     _leaves(world.endpoints.by_address[home.entry.address])
     _crowd(world, 1.0)
-    moved = {r.gateway.directory.home("svc", "part").lifetime for r in world.routers.values()}
+    moved = {
+        r.gateway.directory.affinity_endpoint("svc", "part").lifetime
+        for r in world.routers.values()
+    }
     assert len(moved) == 1
     assert home.lifetime not in moved
 
@@ -322,11 +325,11 @@
 
 def test_the_latest_end_of_several_rests_counts_and_a_refusal_without_a_time_ends_none():
     closed = ClosedEndpoints("r1")
-    closed.take_rest("l0", 5.0, 1, 0.0)
-    closed.take_rest("l0", 2.0, 1, 1.0)
-    assert not closed.answered("l0", 3.0)
-    assert not closed.takes("l0", 4.9)
-    assert closed.takes("l0", 5.1)
+    closed.apply_backoff("l0", 5.0, 1, 0.0)
+    closed.apply_backoff("l0", 2.0, 1, 1.0)
+    assert not closed.note_answer("l0", 3.0)
+    assert not closed.accepts("l0", 4.9)
+    assert closed.accepts("l0", 5.1)
 
 
 def test_it_binds_the_router_that_got_it_and_not_the_others():
--- a/umberhitch/tasks/direct/tests/test_lifetimes.py
+++ b/umberhitch/tasks/direct/tests/test_lifetimes.py
@@ -64,7 +64,7 @@
     for _ in range(5):
         world.ask(other, "/order/x")
     world.run(0.5)
-    running = router.gateway.placement.all_running
+    running = router.gateway.placement.all_running_calls
     assert running(router.gateway.directory.get("e1").lifetime) == 5
     _restart(world)
     world.run(1.0)
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from umberhitch.core.direct import FleetShare, LimitChange, LimitRules, NamedLimits
+from umberhitch.core.direct import AdvertisedLimits, FleetShare, LimitChange, LimitRules
 from umberhitch.core.direct import _fleet_share as fleet_share
-from umberhitch.core.direct.tests import test_named_limits as core
+from umberhitch.core.direct.tests import test_advertised_limits as core
 from umberhitch.tasks.direct.choosing import Choosing
 from umberhitch.tasks.direct.send_gate import SendGate
 from umberhitch.tasks.direct.signal_sharing import SignalSharing
@@ -54,17 +54,17 @@
 
 
 def it_never_ends(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(NamedLimits, "_end", lambda self, lifetime, at_s: None)
+    patch.setattr(AdvertisedLimits, "_end", lambda self, lifetime, at_s: None)
     return limits.test_it_ends_when_it_is_no_longer_named
 
 
 def peers_do_not_end_it(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(NamedLimits, "told_over", lambda self, name, age_s, now_s: LimitChange.NONE)
+    patch.setattr(AdvertisedLimits, "told_over", lambda self, name, age_s, now_s: LimitChange.NONE)
     return limits.test_it_ends_when_it_is_no_longer_named
 
 
 def it_outlives_its_endpoint(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(NamedLimits, "forget", lambda self, known: None)
+    patch.setattr(AdvertisedLimits, "forget", lambda self, known: None)
     return limits.test_a_new_lifetime_starts_without_one
 
 
@@ -126,7 +126,7 @@
 
 
 def nobody_looks_for_itself(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(NamedLimits, "may_look", lambda self, limit, routers, jitter, now_s: False)
+    patch.setattr(AdvertisedLimits, "may_look", lambda self, limit, routers, jitter, now_s: False)
     return core.test_one_that_may_not_send_looks_for_itself_after_a_minute_and_not_with_all_others
 
 
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 from msgspec.structs import replace
 
-from umberhitch.core.direct import Endpoint, EventCutter, ReplyHead, Route
+from umberhitch.core.direct import Endpoint, EventSplitter, ReplyHead, Route
 from umberhitch.core.direct._members import Members
 from umberhitch.tasks.direct.exchange import Exchange
 from umberhitch.tasks.direct.gateway import Gateway
@@ -56,14 +56,14 @@
 
 
 def pass_on_pieces_of_events(patch: pytest.MonkeyPatch) -> None:
-    feed = EventCutter.feed
+    feed = EventSplitter.feed
 
-    def whole_and_rest(self: EventCutter, data: bytes) -> bytes:
+    def whole_and_rest(self: EventSplitter, data: bytes) -> bytes:
         whole = feed(self, data)
         rest, self._held = self._held, b""
         return whole + rest
 
-    patch.setattr(EventCutter, "feed", whole_and_rest)
+    patch.setattr(EventSplitter, "feed", whole_and_rest)
 
 
 def send_to_draining_endpoints(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/tests/test_named_limits.py
+++ b/umberhitch/tasks/direct/tests/test_named_limits.py
@@ -24,7 +24,7 @@
     most_from_told,
     most_within,
 )
-from umberhitch.wire import EndpointNews
+from umberhitch.wire import EndpointUpdate
 
 TOLD_S = 0.5
 """So long after a router has passed on an answer that names a limit, what it sends counts."""
@@ -235,7 +235,7 @@
 def test_peers_know_it_at_once_and_who_lost_the_word_within_seconds():
     world, _ = _world(20, 0, 1, 2.0)
     world.network.drop_where(
-        lambda sender, receiver, message: isinstance(message, EndpointNews) and receiver == "r007"
+        lambda sender, receiver, message: isinstance(message, EndpointUpdate) and receiver == "r007"
     )
     world.ask(world.routers["r000"], "/look/x")
     world.run(0.3)
@@ -249,7 +249,7 @@
     world, limited = _world(4, 0, 1, 50.0)
     told = []
     world.network.drop_where(
-        lambda sender, receiver, message: isinstance(message, EndpointNews)
+        lambda sender, receiver, message: isinstance(message, EndpointUpdate)
         and told.append(1) is None
     )
     for number in range(100):
@@ -493,11 +493,11 @@
     world, _ = _world(4, 2, 0, 0.0)
     told = []
     world.network.drop_where(
-        lambda sender, receiver, message: isinstance(message, EndpointNews)
+        lambda sender, receiver, message: isinstance(message, EndpointUpdate)
         and told.append(1) is None
     )
     _crowd(world, 2.0, 50.0)
     assert told == []
     for router in world.routers.values():
-        assert router.gateway.gate.shares._sent == {}
-        assert not router.gateway.gate.limits.ended(world.clock.seconds())
+        assert router.gateway.gate.shares._send_times == {}
+        assert not router.gateway.gate.limits.recently_ended(world.clock.seconds())
--- a/umberhitch/tasks/direct/tests/test_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_sharing.py
@@ -8,7 +8,7 @@
     make_endpoint_entry,
     make_route,
 )
-from umberhitch.wire import ViewAsk, ViewReply
+from umberhitch.wire import ViewReply, ViewRequest
 
 NEW = (make_route("look"), make_route("new"))
 
@@ -144,9 +144,9 @@
     view = routers[0].peers._sharing.answerers["registry"]
     sent = []
     view._sharing.send = lambda peer, message: sent.append((peer, message))
-    view.on_ask("r9", ViewAsk(1, 1, "registry", 0, 0.5))
+    view.on_ask("r9", ViewRequest(1, 1, "registry", 0, 0.5))
     assert sent == [("r9", ViewReply(1, 1, False))]
-    view.on_ask("r9", ViewAsk(2, 1, "registry", 99, 0.5))
+    view.on_ask("r9", ViewRequest(2, 1, "registry", 99, 0.5))
     world.run(0.6)
     assert sent[1][1].is_known
     assert sent[1][1].held_s >= 0.5
--- a/umberhitch/tasks/direct/tests/test_trials.py
+++ b/umberhitch/tasks/direct/tests/test_trials.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from umberhitch.core.direct import AnswerVerdict, RolloutOrder, RolloutState, Trial, TrialLimits
+from umberhitch.core.direct import AnswerVerdict, Canary, CanaryLimits, RolloutOrder, RolloutState
 from umberhitch.fakes import Reply, StoreFaults
 from umberhitch.testing import DirectWorld, make_direct_document
 
@@ -38,8 +38,8 @@
         world.run(0.05)
 
 
-def _trial() -> Trial:
-    return Trial(RolloutOrder("svc", "v2", 20.0), 0.0, TrialLimits())
+def _trial() -> Canary:
+    return Canary(RolloutOrder("svc", "v2", 20.0), 0.0, CanaryLimits())
 
 
 def _exposed(world: DirectWorld) -> tuple[int, int]:
@@ -156,12 +156,12 @@
     version got 700 of 2,080 requests (own day rollout-load, registry)."""
     trial = _trial()
     for number in range(711):
-        trial.note(False, "draft", f"e{number % 4}", AnswerVerdict.GOOD, 0.0)
+        trial.count_answer(False, "draft", f"e{number % 4}", AnswerVerdict.GOOD, 0.0)
     found = 0
     for number in range(235):
         verdict = AnswerVerdict.GOOD if number % 13 else AnswerVerdict.FAILED
-        trial.note(True, "draft", f"n{number % 4}", verdict, 0.0)
-        found = found or (number if trial.is_bad() else 0)
+        trial.count_answer(True, "draft", f"n{number % 4}", verdict, 0.0)
+        found = found or (number if trial.is_failing() else 0)
     assert 0 < found < 120
 
 
@@ -170,15 +170,17 @@
     for number in range(2000):
         old = AnswerVerdict.GOOD if number % 7 else AnswerVerdict.FAILED
         new = AnswerVerdict.GOOD if (number + 4) % 7 else AnswerVerdict.FAILED
-        trial.note(False, "look", f"e{number % 4}", old, 0.0)
-        trial.note(True, "look", f"n{number % 4}", new, 0.0)
-        assert not trial.is_bad()
+        trial.count_answer(False, "look", f"e{number % 4}", old, 0.0)
+        trial.count_answer(True, "look", f"n{number % 4}", new, 0.0)
+        assert not trial.is_failing()
 
 
-def _note(trial: Trial, is_target: bool, verdicts: list[AnswerVerdict], now_s: float = 1.0) -> None:
+def _note(
+    trial: Canary, is_target: bool, verdicts: list[AnswerVerdict], now_s: float = 1.0
+) -> None:
     for number, verdict in enumerate(verdicts):
         name = "n" if is_target else "e"
-        trial.note(is_target, "draft", f"{name}{number % 4}", verdict, now_s)
+        trial.count_answer(is_target, "draft", f"{name}{number % 4}", verdict, now_s)
 
 
 def test_endpoints_that_are_lost_turn_no_version_back():
@@ -187,8 +189,8 @@
     _note(trial, False, [AnswerVerdict.GOOD] * 200)
     _note(trial, True, [AnswerVerdict.GOOD] * 12)
     _note(trial, True, [AnswerVerdict.BROKEN] * 12)
-    assert trial.pooled(True).broken == 4
-    assert not trial.is_bad()
+    assert trial.pooled_counts(True).broken == 4
+    assert not trial.is_failing()
 
 
 def test_a_version_that_goes_on_breaking_answers_off_is_turned_back():
@@ -197,7 +199,7 @@
     _note(trial, True, [AnswerVerdict.GOOD] * 12)
     for second in range(2):
         _note(trial, True, [AnswerVerdict.BROKEN] * 4, now_s=2.0 + 1.5 * second)
-    assert trial.is_bad()
+    assert trial.is_failing()
 
 
 def test_a_slow_version_is_not_hidden_by_answers_too_short_to_tell():
@@ -205,9 +207,9 @@
     trial = _trial()
     _note(trial, False, [AnswerVerdict.GOOD] * 90 + [AnswerVerdict.SLOW] * 5)
     _note(trial, True, [AnswerVerdict.UNPACED] * 8 + [AnswerVerdict.GOOD] * 3)
-    assert not trial.is_bad()
+    assert not trial.is_failing()
     _note(trial, True, [AnswerVerdict.SLOW] * 4)
-    assert trial.is_bad()
+    assert trial.is_failing()
 
 
 def test_what_load_makes_slow_turns_no_version_back():
@@ -215,7 +217,7 @@
     trial = _trial()
     _note(trial, False, [AnswerVerdict.GOOD] * 300 + [AnswerVerdict.SLOW] * 11)
     _note(trial, True, [AnswerVerdict.GOOD] * 146 + [AnswerVerdict.SLOW] * 17)
-    assert not trial.is_bad()
+    assert not trial.is_failing()
 
 
 def test_the_load_of_the_proof_turns_no_version_back():
@@ -423,7 +425,7 @@
 def test_a_new_version_gets_nothing_until_all_routers_have_told_their_sessions():
     world = _world()
     _begin(world, Reply())
-    _traffic(world, 0.9 * TrialLimits().settle_s)
+    _traffic(world, 0.9 * CanaryLimits().settle_s)
     assert _exposed(world)[1] == 0
     _traffic(world, 0.4 * DURATION_S)
     assert _exposed(world)[1] > 0
--- a/umberhitch/tasks/direct/tests/test_word_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_word_fuzz.py
@@ -100,7 +100,7 @@
 def rests_are_cut_short(patch: pytest.MonkeyPatch) -> None:
     """Nor is an endpoint that has refused any less attractive, which would hide it mostly."""
     patch.setattr(Placement, "refused", lambda self, placed, now_s: None)
-    take = ClosedEndpoints.take_rest
+    take = ClosedEndpoints.apply_backoff
     patch.setattr(
         ClosedEndpoints,
         "take_rest",
--- a/umberhitch/tasks/direct/tests/test_word_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_word_mutations.py
@@ -87,10 +87,10 @@
 
 
 def the_first_end_counts(patch: pytest.MonkeyPatch) -> Test:
-    take = ClosedEndpoints.take_rest
+    take = ClosedEndpoints.apply_backoff
 
     def take_last(self: ClosedEndpoints, lifetime: str, *word: float) -> bool:
-        self.resting.pop(lifetime, None)
+        self.backoffs.pop(lifetime, None)
         return take(self, lifetime, *word)
 
     patch.setattr(ClosedEndpoints, "take_rest", take_last)
@@ -99,7 +99,7 @@
 
 def an_answer_ends_it(patch: pytest.MonkeyPatch) -> Test:
     def forget(self: ClosedEndpoints, lifetime: str, now_s: float) -> bool:
-        return self.resting.pop(lifetime, None) is not None
+        return self.backoffs.pop(lifetime, None) is not None
 
     patch.setattr(ClosedEndpoints, "answered", forget)
     return words.test_the_latest_end_of_several_rests_counts_and_a_refusal_without_a_time_ends_none
@@ -110,13 +110,13 @@
     patch.setattr(
         SendGate,
         "opener",
-        lambda self: lambda endpoint: shared.takes(endpoint.lifetime, self._clock.seconds()),
+        lambda self: lambda endpoint: shared.accepts(endpoint.lifetime, self._clock.seconds()),
     )
     patch.setattr(
         ClosedEndpoints,
         "take_rest",
-        lambda self, lifetime, rest_s, routers, now_s: shared.resting.setdefault(
-            lifetime, closed.Rest(now_s, now_s + rest_s, now_s + rest_s)
+        lambda self, lifetime, rest_s, routers, now_s: shared.backoffs.setdefault(
+            lifetime, closed.EndpointBackoff(now_s, now_s + rest_s, now_s + rest_s)
         )
         is None,
     )
--- a/umberhitch/tasks/direct/tests/test_word_pairs.py
+++ b/umberhitch/tasks/direct/tests/test_word_pairs.py
@@ -162,7 +162,7 @@
     opens_s = []
     for number in range(routers):
         closed = ClosedEndpoints(f"r{number}")
-        closed.take_rest("e0", REST_S, routers, 0.0)
+        closed.apply_backoff("e0", REST_S, routers, 0.0)
         opens_s.append(closed.wait_s("e0", 0.0))
     return max(sum(s <= each < s + 1.0 for each in opens_s) for s in opens_s)
 
@@ -175,7 +175,7 @@
 def test_all_return_after_a_rest_that_all_were_asked_for():
     world, (resting,) = words._world(30, 2, 1)
     for router in world.routers.values():
-        router.gateway.gate.closed.take_rest("l0", 1.0, 30, world.clock.seconds())
+        router.gateway.gate.closed.apply_backoff("l0", 1.0, 30, world.clock.seconds())
     calls = len(resting.calls)
     asks = limits._crowd(world, 6.0, 200.0)
     world.run(1.0)
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -25,7 +25,7 @@
     """Homes are kept when a zone goes, and calls follow them."""
 
     def keep_homes(self: Members) -> None:
-        self.listed = None
+        self.cached_in_service = None
 
     patch.setattr(Members, "zones_changed", keep_homes)
 
--- a/umberhitch/tasks/direct/trials.py
+++ b/umberhitch/tasks/direct/trials.py
@@ -12,18 +12,18 @@
 from xxhash import xxh3_64_intdigest
 
 from umberhitch.core.direct import (
+    AnswerCounts,
     AnswerVerdict,
-    Counts,
+    Canary,
+    CanaryLimits,
     Endpoint,
     RolloutOrder,
     RolloutState,
-    Trial,
-    TrialLimits,
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import StatusPort, do_nothing
 from umberhitch.tasks.direct.stored_states import FINAL_STATES, StoredStates
-from umberhitch.wire import RouteCounts, TrialNews, TrialReport
+from umberhitch.wire import CanaryReport, CanaryUpdate, RouteCounts
 
 __all__ = ["Trials"]
 
@@ -46,7 +46,7 @@
     clock : Clock
     rng : Random
     status : StatusPort
-    limits : TrialLimits
+    limits : CanaryLimits
 
     Attributes
     ----------
@@ -57,12 +57,12 @@
     """
 
     def __init__(
-        self, clock: Clock, rng: Random, status: StatusPort, limits: TrialLimits | None = None
+        self, clock: Clock, rng: Random, status: StatusPort, limits: CanaryLimits | None = None
     ) -> None:
         self._clock = clock
         self._rng = rng
-        self._limits = limits or TrialLimits()
-        self._trials: dict[str, Trial] = {}
+        self._limits = limits or CanaryLimits()
+        self._trials: dict[str, Canary] = {}
         self._within: dict[str, tuple[float, bool]] = {}
         """By service: when the exposure bound was looked at, and whether it was kept."""
         self._states = StoredStates(clock, status, self._note_final)
@@ -109,10 +109,10 @@
         if known is not None and known.order == order:
             return
         now_s = self._clock.seconds()
-        trial = Trial(order, now_s, self._limits)
+        trial = Canary(order, now_s, self._limits)
         for session, (at_s, draw) in self._recent.pop(order.service, {}).items():
-            trial.seen_before(session, at_s, draw)
-        trial.just_kept = trial.kept_back(now_s)
+            trial.note_old_session(session, at_s, draw)
+        trial.unreported_pinned = trial.pinned_sessions(now_s)
         self._trials[order.service] = trial
         self._tell_news(trial)
         self._within.pop(order.service, None)
@@ -135,19 +135,19 @@
         states = [trial.state for trial in self._trials.values()]
         return RolloutState.IN_PROGRESS in states
 
-    def _drive(self, service: str, trial: Trial, now_s: float) -> None:
+    def _drive(self, service: str, trial: Canary, now_s: float) -> None:
         running = self.old_running(service, trial.order.target)
-        verdict = trial.verdict(now_s, running)
+        verdict = trial.next_state(now_s, running)
         if verdict is RolloutState.ROLLED_BACK and trial.state is not verdict:
             self._set_state(trial, verdict)
         self._states.settle(trial, verdict)
 
-    def _note_final(self, trial: Trial, state: RolloutState) -> None:
+    def _note_final(self, trial: Canary, state: RolloutState) -> None:
         """Take over a final state that stands in the store."""
         if self._trials.get(trial.order.service) is trial:
             self._set_state(trial, state)
 
-    def _set_state(self, trial: Trial, state: RolloutState) -> None:
+    def _set_state(self, trial: Canary, state: RolloutState) -> None:
         if trial.state is state:
             return
         trial.state = state
@@ -156,10 +156,13 @@
             "target": trial.order.target,
             "state": state,
         }
-        for name, counts in (("new", trial.pooled(True)), ("old", trial.pooled(False))):
+        for name, counts in (
+            ("new", trial.pooled_counts(True)),
+            ("old", trial.pooled_counts(False)),
+        ):
             for what in ("answers", "failed", "broken", "paced", "slow"):
                 facts[f"{name}_{what}"] = getattr(counts, what)
-        facts["part"] = round(trial.part(self._clock.seconds()), 3)
+        facts["part"] = round(trial.progress(self._clock.seconds()), 3)
         log.info("roll-out state", extra=facts)
 
     # Requests
@@ -192,7 +195,7 @@
                 each.entry.version == trial.order.target for each in endpoints
             )
             is_within = self._is_within_bound(trial, endpoints, now_s)
-            chosen = trial.is_for_target(session, draw, now_s, has_target, is_light, is_within)
+            chosen = trial.routes_to_target(session, draw, now_s, has_target, is_light, is_within)
             self._tell_news(trial)
             return chosen
         if session is not None:
@@ -210,22 +213,22 @@
         now_s = self._clock.seconds()
         trial = self._trials.get(service)
         if trial is not None:
-            trial.ended(session, now_s)
+            trial.note_request_finished(session, now_s)
         elif session in self._recent.get(service, ()):
             self._recent[service][session] = (now_s, _draw(session))
 
-    def _tell_news(self, trial: Trial) -> None:
-        if trial.just_moved or trial.just_kept:
+    def _tell_news(self, trial: Canary) -> None:
+        if trial.unreported_moved or trial.unreported_pinned:
             self._on_news()
 
-    def _is_within_bound(self, trial: Trial, endpoints: list[Endpoint], now_s: float) -> bool:
+    def _is_within_bound(self, trial: Canary, endpoints: list[Endpoint], now_s: float) -> bool:
         at_s, is_within = self._within.get(trial.order.service, (float("-inf"), False))
         if now_s - at_s < TICK_S:
             return is_within
         target = trial.order.target
         new = sum(self.running(e.lifetime) for e in endpoints if e.entry.version == target)
         both = sum(self.running(each.lifetime) for each in endpoints)
-        is_within = trial.is_within_bound(now_s, new, both - new)
+        is_within = trial.is_within_exposure(now_s, new, both - new)
         self._within[trial.order.service] = (now_s, is_within)
         return is_within
 
@@ -260,12 +263,12 @@
                 return new or old
         if not wants_target:
             return old or new
-        if is_light and new and trial.is_proving(self._clock.seconds()):
+        if is_light and new and trial.is_load_testing(self._clock.seconds()):
             loaded = min(new, key=lambda each: _draw(each.lifetime))
             limit = trial.limits.full_load * (loaded.entry.slots or 0)
             if self.running(loaded.lifetime) < limit:
                 return [loaded]
-            trial.is_proved = limit > 0
+            trial.is_load_tested = limit > 0
         return new or old
 
     def note(self, service: str, route: str, endpoint: Endpoint, verdict: AnswerVerdict) -> None:
@@ -274,9 +277,9 @@
         if trial is not None:
             is_target, now_s = self.is_target(service, endpoint), self._clock.seconds()
             is_paced = verdict in (AnswerVerdict.SLOW, AnswerVerdict.GOOD)
-            if is_paced and is_target and trial.is_under_proof(now_s):
+            if is_paced and is_target and trial.is_affected_by_load_test(now_s):
                 verdict = AnswerVerdict.UNPACED  # its pace is that of the load of the proof
-            trial.note(is_target, route, endpoint.lifetime, verdict, now_s)
+            trial.count_answer(is_target, route, endpoint.lifetime, verdict, now_s)
 
     def is_target(self, service: str, endpoint: Endpoint) -> bool:
         """Whether an endpoint is of the version that a roll-out brings in."""
@@ -289,54 +292,59 @@
         if trial is None or not self.is_target(service, endpoint):
             return False
         now_s = self._clock.seconds()
-        return trial.is_proving(now_s) or trial.bears_all(now_s)
+        return trial.is_load_testing(now_s) or trial.takes_all_traffic(now_s)
 
     # Peers
 
-    def reports(self) -> list[TrialReport]:
+    def reports(self) -> list[CanaryReport]:
         """Return what the other routers are told."""
         now_s = self._clock.seconds()
         return [
-            TrialReport(
+            CanaryReport(
                 service,
                 trial.order.target,
                 now_s - trial.started_s,
                 trial.state,
-                [_counts(is_target, route, each) for (is_target, route), each in trial.own.items()],
-                trial.kept_back(now_s)[:MAX_KEPT_BACK],
-                trial.is_proved,
+                [
+                    _counts(is_target, route, each)
+                    for (is_target, route), each in trial.own_counts.items()
+                ],
+                trial.pinned_sessions(now_s)[:MAX_KEPT_BACK],
+                trial.is_load_tested,
                 trial.moved_sessions(now_s)[-MAX_MOVED:],
                 self._states.proved(service),
             )
             for service, trial in self._trials.items()
         ]
 
-    def take_news(self) -> list[TrialNews]:
+    def take_news(self) -> list[CanaryUpdate]:
         """Return what others are to be told at once, and that was not."""
         found = []
         untold = self._states.take_untold()
         for service, trial in self._trials.items():
-            if service not in untold and not trial.just_moved and not trial.just_kept:
+            if service not in untold and not trial.unreported_moved and not trial.unreported_pinned:
                 continue
-            kept = trial.just_kept[-MAX_KEPT_BACK:]
+            kept = trial.unreported_pinned[-MAX_KEPT_BACK:]
             written = self._states.proved(service)
-            found.append(TrialNews(service, trial.order.target, trial.just_moved, kept, written))
-            trial.just_moved, trial.just_kept = [], []
+            found.append(
+                CanaryUpdate(service, trial.order.target, trial.unreported_moved, kept, written)
+            )
+            trial.unreported_moved, trial.unreported_pinned = [], []
         return found
 
-    def note_news(self, message: TrialNews) -> None:
+    def note_news(self, message: CanaryUpdate) -> None:
         """Take note of sessions that another router keeps on a version, and of what stands."""
         trial = self._trials.get(message.service)
         if trial is None or trial.order.target != message.target:
             return
         now_s = self._clock.seconds()
-        self._states.note_told(trial, message.written)
-        for session in message.moved:
-            trial.moved_before(session, now_s, _draw(session))
-        for session in message.kept:
-            trial.seen_before(session, now_s, _draw(session))
+        self._states.note_told(trial, message.stored_state)
+        for session in message.moved_to_new:
+            trial.note_moved_session(session, now_s, _draw(session))
+        for session in message.kept_on_old:
+            trial.note_old_session(session, now_s, _draw(session))
 
-    def take(self, router: str, reports: list[TrialReport]) -> None:
+    def take(self, router: str, reports: list[CanaryReport]) -> None:
         """Take what another incarnation of a router tells."""
         for report in reports:
             trial = self._trials.get(report.service)
@@ -344,7 +352,7 @@
                 continue
             trial.started_s = min(trial.started_s, self._clock.seconds() - report.elapsed_s)
             counts = {
-                (each.is_target, each.route): Counts(
+                (each.is_target, each.route): AnswerCounts(
                     each.answers,
                     each.failed,
                     each.broken,
@@ -354,14 +362,14 @@
                 )
                 for each in report.counts
             }
-            trial.take(router, counts)
-            trial.is_proved |= report.is_proved
-            for session in report.kept_back:
-                trial.seen_before(session, self._clock.seconds(), _draw(session))
-            for session in report.moved:
-                trial.moved_before(session, self._clock.seconds(), _draw(session))
+            trial.set_router_counts(router, counts)
+            trial.is_load_tested |= report.was_fully_loaded
+            for session in report.kept_on_old:
+                trial.note_old_session(session, self._clock.seconds(), _draw(session))
+            for session in report.moved_to_new:
+                trial.note_moved_session(session, self._clock.seconds(), _draw(session))
             self._states.note_heard(report.service)
-            self._states.note_told(trial, report.written)
+            self._states.note_told(trial, report.stored_state)
             if report.state in FINAL_STATES and trial.state is RolloutState.IN_PROGRESS:
                 self._set_state(trial, RolloutState(report.state))
 
@@ -371,7 +379,7 @@
     return xxh3_64_intdigest(session.encode()) / HASH_RANGE
 
 
-def _counts(is_target: bool, route: str, counts: Counts) -> RouteCounts:
+def _counts(is_target: bool, route: str, counts: AnswerCounts) -> RouteCounts:
     return RouteCounts(
         is_target,
         route,
--- a/umberhitch/tasks/direct/unknown_headers.py
+++ b/umberhitch/tasks/direct/unknown_headers.py
@@ -50,7 +50,7 @@
                 log.warning("unknown header of an endpoint", extra=facts)
             else:
                 self.others += 1
-        for name in signals.unclear:
+        for name in signals.malformed:
             if name not in self.unclear:
                 facts = {"header": name, "endpoint": lifetime}
                 log.warning("unclear header of an endpoint", extra=facts)
--- a/umberhitch/tasks/fleet.py
+++ b/umberhitch/tasks/fleet.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from umberhitch.ports import Clock, Host, HostState
-from umberhitch.wire import Beat, EndpointState
+from umberhitch.wire import EndpointState, Heartbeat
 
 __all__ = ["EMPTY_POOL", "Endpoint", "Fleet", "FleetLimits", "Pool", "make_pool"]
 
@@ -205,7 +205,7 @@
         """Look for endpoints that have fallen silent; called at the pace of heartbeats."""
         self._pools.clear()
 
-    def hear(self, beat: Beat) -> int | None:
+    def hear(self, beat: Heartbeat) -> int | None:
         """Take a heartbeat; returns the incarnation that it replaces, if it does."""
         endpoint = self.endpoints.get(beat.endpoint)
         if endpoint is None or beat.incarnation < endpoint.incarnation:
--- a/umberhitch/tasks/loading.py
+++ b/umberhitch/tasks/loading.py
@@ -4,7 +4,7 @@
 
 from umberhitch.core.fencing import Fence
 from umberhitch.ports import BackendPort, Clock
-from umberhitch.wire import Order, OrderReply
+from umberhitch.wire import LoadOrder, LoadOrderReply
 
 __all__ = ["Loading"]
 
@@ -38,7 +38,7 @@
         self._clock = clock
         self._on_change = on_change
         self._before = targets
-        self._order: Order | None = None
+        self._order: LoadOrder | None = None
         self._has_begun = False
 
     @property
@@ -46,15 +46,15 @@
         """Whether a version is about to be loaded, or is being loaded."""
         return self._order is not None
 
-    def take(self, order: Order) -> OrderReply:
+    def take(self, order: LoadOrder) -> LoadOrderReply:
         """Accept an order, unless its sender's lease has passed on; see `begin_if_idle`."""
         if not self.fence.admits(order.token, self._clock.seconds()):
-            return OrderReply(order.order, False, "old fencing token")
+            return LoadOrderReply(order.order_id, False, "old fencing token")
         if self._order is None and self.targets != (order.target,):
             self._order = order
             self._has_begun = False
             self._on_change()
-        return OrderReply(order.order, True)
+        return LoadOrderReply(order.order_id, True)
 
     def begin_if_idle(self, running: int) -> None:
         """Have the engine load, once nothing runs on what it serves."""
@@ -65,7 +65,7 @@
         self._before, self.targets = self.targets, ()
         self._backend.load(order.target, order.token).addCallback(self._on_loaded, order)
 
-    def _on_loaded(self, is_done: bool, order: Order) -> None:
+    def _on_loaded(self, is_done: bool, order: LoadOrder) -> None:
         self._order = None
         self.targets = (order.target,) if is_done else self._before
         self._on_change()
--- a/umberhitch/tasks/peers.py
+++ b/umberhitch/tasks/peers.py
@@ -113,7 +113,7 @@
         """Return how old a configuration of this revision may be, by each peer's word."""
         now = self._clock.seconds()
         return [
-            peer.digest.age_s + now - peer.heard_s
+            peer.digest.config_age_s + now - peer.heard_s
             for peer in self._heard.values()
-            if peer.digest.age_s >= 0 and peer.digest.revision <= revision
+            if peer.digest.config_age_s >= 0 and peer.digest.revision <= revision
         ]
--- a/umberhitch/tasks/rollouts.py
+++ b/umberhitch/tasks/rollouts.py
@@ -34,7 +34,7 @@
 from umberhitch.tasks.evidence import EvidenceTask
 from umberhitch.tasks.leases import LeaseKeeper
 from umberhitch.tasks.parts import RouterParts
-from umberhitch.wire import Order, OrderReply
+from umberhitch.wire import LoadOrder, LoadOrderReply
 
 __all__ = ["ROLLOUT_LEASE", "RolloutDriver", "RolloutError"]
 
@@ -73,7 +73,7 @@
         self._lease = lease
         self._clock = clock
         self._wall_s = wall_s
-        self._orders: dict[str, tuple[Order, float]] = {}
+        self._orders: dict[str, tuple[LoadOrder, float]] = {}
         self._pending: str | None = None
         self._was_driving = False
         self._driving_since_s = 0.0
@@ -228,7 +228,7 @@
     def _order(self, endpoint: str, target: str, token: int) -> None:
         if endpoint in self._orders:
             return
-        order = Order(token, f"{token}/{endpoint}/{target}", target)
+        order = LoadOrder(token, f"{token}/{endpoint}/{target}", target)
         self._orders[endpoint] = (order, self._clock.seconds())
         self._router.send(endpoint, order)
 
@@ -242,13 +242,13 @@
                 self._orders[endpoint] = (order, now)
                 self._router.send(endpoint, order)
 
-    def handle(self, reply: OrderReply) -> None:
+    def handle(self, reply: LoadOrderReply) -> None:
         """Take an agent's answer to an order."""
         if reply.is_accepted:
             return
         self.refused_orders += 1
         for endpoint, (order, _) in list(self._orders.items()):
-            if order.order == reply.order:
+            if order.order_id == reply.order_id:
                 del self._orders[endpoint]
 
 
--- a/umberhitch/tasks/router.py
+++ b/umberhitch/tasks/router.py
@@ -30,23 +30,23 @@
 from umberhitch.tasks.resume import Resume
 from umberhitch.tasks.rollouts import ROLLOUT_LEASE, RolloutDriver
 from umberhitch.wire import (
-    Beat,
-    BurnAsk,
+    AttemptAccepted,
     BurnReply,
+    BurnRequest,
     Chunk,
     ConfigRecords,
+    ConfigRequest,
     ConfigSnapshot,
     Evidence,
     Failed,
     Finished,
-    HandOver,
+    Heartbeat,
     Hello,
+    LoadOrderReply,
     Message,
-    NeedConfig,
-    OrderReply,
     Refused,
     RouterDigest,
-    Taken,
+    UsageHandover,
     Withdrawal,
 )
 
@@ -275,9 +275,9 @@
     def _greet_agents(self) -> None:
         """Greet the agents, all within the pace at which they are to be heard."""
         hello = self._hello()
-        self.fleet.set_pace(hello.beat_s)
+        self.fleet.set_pace(hello.heartbeat_interval_s)
         names = list(self.fleet.endpoints)
-        count = ceil(len(names) * self.settings.hello_s / hello.beat_s)
+        count = ceil(len(names) * self.settings.hello_s / hello.heartbeat_interval_s)
         for index in range(min(count, len(names))):
             self._link.send(names[(self._next_greeted + index) % len(names)], hello)
         self._next_greeted += count
@@ -379,27 +379,27 @@
 
     def _handle(self, sender: str, message: Message) -> None:
         match message:
-            case Chunk() | Taken() | Finished() | Refused() | Failed():
+            case Chunk() | AttemptAccepted() | Finished() | Refused() | Failed():
                 self.attempts.handle(message)
-            case Beat():
+            case Heartbeat():
                 self._on_beat(message)
-            case NeedConfig(revision=revision):
+            case ConfigRequest(revision=revision):
                 self._send_update(sender, revision)
-            case HandOver(records=records):
+            case UsageHandover(records=records):
                 for record in records:
                     self.bills.write(record, [sender])
             case RouterDigest():
                 self._on_digest(sender, message)
             case ConfigRecords(previous=previous, records=records):
                 if not self.feed.take_records(previous, records):
-                    self._link.send(sender, NeedConfig(self.feed.revision))
+                    self._link.send(sender, ConfigRequest(self.feed.revision))
             case ConfigSnapshot(data=data):
                 self.feed.take_snapshot(data)
             case Withdrawal():
                 self._pass_on_withdrawal(message)
-            case OrderReply():
+            case LoadOrderReply():
                 self.rollouts.handle(message)
-            case BurnAsk():
+            case BurnRequest():
                 self.burn.answer(sender, message)
             case BurnReply():
                 self.burn.take(sender, message)
@@ -408,7 +408,7 @@
             case _:
                 log.warning("unexpected message", extra={"message_type": type(message).__name__})
 
-    def _on_beat(self, beat: Beat) -> None:
+    def _on_beat(self, beat: Heartbeat) -> None:
         replaced = self.fleet.hear(beat)
         if replaced is not None:
             self.attempts.agent_replaced(beat.endpoint, beat.incarnation)
@@ -425,4 +425,4 @@
         if digest.revision < self.feed.revision:
             self._send_update(sender, digest.revision)
         elif digest.revision > self.feed.revision:
-            self._link.send(sender, NeedConfig(self.feed.revision))
+            self._link.send(sender, ConfigRequest(self.feed.revision))
--- a/umberhitch/tasks/tests/test_fleet.py
+++ b/umberhitch/tasks/tests/test_fleet.py
@@ -4,11 +4,13 @@
 
 from umberhitch.ports import Host, HostRole
 from umberhitch.tasks.fleet import Fleet
-from umberhitch.wire import Beat, EndpointState
+from umberhitch.wire import EndpointState, Heartbeat
 
 
-def make_beat(name: str, incarnation: int = 1, state: EndpointState = EndpointState.READY) -> Beat:
-    return Beat(name, incarnation, "a", ["m@1"], state, 0, 0, 0, 8)
+def make_beat(
+    name: str, incarnation: int = 1, state: EndpointState = EndpointState.READY
+) -> Heartbeat:
+    return Heartbeat(name, incarnation, "a", ["m@1"], state, 0, 0, 0, 8)
 
 
 def make_fleet(count: int) -> tuple[Clock, Fleet]:
@@ -59,7 +61,7 @@
 def test_an_older_incarnation_is_not_believed() -> None:
     _, fleet = make_fleet(1)
     assert fleet.hear(make_beat("e0", incarnation=5)) == 1
-    assert fleet.hear(make_beat("e0", incarnation=4, state=EndpointState.LEAVING)) is None
+    assert fleet.hear(make_beat("e0", incarnation=4, state=EndpointState.DRAINING)) is None
     assert names(fleet) == ["e0"]
 
 
@@ -67,7 +69,7 @@
     _, fleet = make_fleet(1)
     endpoint = fleet.endpoints["e0"]
     endpoint.own = 2
-    fleet.hear(Beat("e0", 1, "a", ["m@1"], EndpointState.READY, 0, 5, 1, 8))
+    fleet.hear(Heartbeat("e0", 1, "a", ["m@1"], EndpointState.READY, 0, 5, 1, 8))
     endpoint.own = 6
     assert endpoint.load() == (6 + 6 - 2) / 8
 
--- a/umberhitch/testing/_direct.py
+++ b/umberhitch/testing/_direct.py
@@ -8,11 +8,11 @@
 from twisted.internet.task import Clock
 
 from umberhitch.core.direct import (
-    BudgetLimits,
     Customer,
     Document,
     EndpointEntry,
     EndpointState,
+    RetryBudgetLimits,
     RolloutOrder,
     RolloutState,
     Route,
@@ -184,7 +184,7 @@
             GatewaySettings(
                 name=name,
                 zone=zone,
-                budget=BudgetLimits(0.9, slack, 10.0),
+                budget=RetryBudgetLimits(0.9, slack, 10.0),
                 **settings,
             ),
             clock,
--- a/umberhitch/testing/fuzz/_machine.py
+++ b/umberhitch/testing/fuzz/_machine.py
@@ -13,7 +13,7 @@
 from umberhitch.testing._builders import make_change
 from umberhitch.testing._oracle import check_world
 from umberhitch.testing._world import AskOptions, World, WorldSettings
-from umberhitch.wire import Billed, Cancel, ConfigRecords, Finished, Order, Start
+from umberhitch.wire import Cancel, ConfigRecords, Finished, LoadOrder, Start, UsageConfirmation
 
 __all__ = ["DeploymentMachine"]
 
@@ -177,7 +177,9 @@
         """Cut two processes off from each other."""
         self.world.network.cut(one, other)
 
-    @rule(kind=st.sampled_from([Start, Cancel, Finished, Order, Billed, ConfigRecords]))
+    @rule(
+        kind=st.sampled_from([Start, Cancel, Finished, LoadOrder, UsageConfirmation, ConfigRecords])
+    )
     def hold_messages(self, kind: type) -> None:
         """Keep messages of a kind on their way."""
         self.world.network.hold_where(lambda one, other, message: isinstance(message, kind))
--- a/umberhitch/wire/_messages.py
+++ b/umberhitch/wire/_messages.py
@@ -13,51 +13,51 @@
 
 __all__ = [
     "URGENT_PRIORITY",
+    "AttemptAccepted",
     "AttemptId",
-    "Beat",
-    "Billed",
-    "BurnAsk",
     "BurnReply",
+    "BurnRequest",
     "BurnSlice",
+    "CanaryReport",
+    "CanaryUpdate",
     "Cancel",
     "Chunk",
     "ConfigRecords",
+    "ConfigRequest",
     "ConfigSnapshot",
-    "CrashNews",
-    "CrashTold",
-    "EndTold",
-    "EndpointNews",
+    "CrashNotice",
+    "CrashUpdate",
+    "DrainNotice",
     "EndpointState",
+    "EndpointUpdate",
     "EndpointUse",
     "EngineWork",
     "Evidence",
     "Failed",
     "Fetch",
     "Finished",
-    "HandOver",
+    "Heartbeat",
     "Hello",
-    "LeavingTold",
-    "LimitTold",
+    "LimitNotice",
+    "LoadOrder",
+    "LoadOrderReply",
     "Message",
-    "NeedConfig",
-    "Order",
-    "OrderReply",
     "PeerReport",
-    "ProbeAsk",
+    "ProbeNotice",
     "ProbeReply",
-    "ProbeTold",
+    "ProbeRequest",
     "Refused",
     "RouteCounts",
     "RouterDigest",
+    "RunEndNotice",
     "ServiceWork",
     "Start",
-    "Taken",
-    "TrialNews",
-    "TrialReport",
     "Usage",
+    "UsageConfirmation",
+    "UsageHandover",
     "UsageRecord",
-    "ViewAsk",
     "ViewReply",
+    "ViewRequest",
     "Withdrawal",
 ]
 
@@ -81,7 +81,7 @@
     """What an agent says of its endpoint."""
 
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 class Usage(Struct, frozen=True, array_like=True):
@@ -133,12 +133,12 @@
     revision: int
     token: int = -1
     """Newest fencing token that the router has read of."""
-    beat_s: float = 1.0
+    heartbeat_interval_s: float = 1.0
     """How often the router wants to hear of the agent, unless something has changed."""
 
 
 class Start(Struct, frozen=True, array_like=True, tag="start"):
-    """Run an attempt. Sent again until `Taken`; the agent's ledger makes it idempotent."""
+    """Run an attempt. Sent again until `AttemptAccepted`; the agent's ledger makes it idempotent."""
 
     attempt: AttemptId
     agent_incarnation: int
@@ -172,7 +172,7 @@
     """The agent answers only if the attempt is this customer's."""
 
 
-class Billed(Struct, frozen=True, array_like=True, tag="billed"):
+class UsageConfirmation(Struct, frozen=True, array_like=True, tag="billed"):
     """The usage records of these requests were seen in the log."""
 
     requests: list[str]
@@ -191,7 +191,7 @@
     data: bytes
 
 
-class NeedConfig(Struct, frozen=True, array_like=True, tag="need"):
+class ConfigRequest(Struct, frozen=True, array_like=True, tag="need"):
     """Send the configuration after this revision."""
 
     revision: int
@@ -207,7 +207,7 @@
     change_id: str
 
 
-class Beat(Struct, frozen=True, array_like=True, tag="beat"):
+class Heartbeat(Struct, frozen=True, array_like=True, tag="beat"):
     """An agent's heartbeat: who it is, what it serves, how loaded it is."""
 
     endpoint: str
@@ -224,7 +224,7 @@
     """Attempts running and queued that are urgent; see `URGENT_PRIORITY`."""
 
 
-class Taken(Struct, frozen=True, array_like=True, tag="taken"):
+class AttemptAccepted(Struct, frozen=True, array_like=True, tag="taken"):
     """The attempt is in the ledger and will be answered."""
 
     attempt: AttemptId
@@ -252,7 +252,7 @@
     attempt: AttemptId
     length: int
     usage: Usage
-    finish: str = "stop"
+    finish_reason: str = "stop"
     status: int = 200
     headers: dict[str, str] = {}
     target: str = ""
@@ -266,26 +266,26 @@
     usage: Usage = Usage()
 
 
-class HandOver(Struct, frozen=True, array_like=True, tag="handover"):
+class UsageHandover(Struct, frozen=True, array_like=True, tag="handover"):
     """Usage records whose router has not confirmed them in time."""
 
     records: list[UsageRecord]
 
 
-class Order(Struct, frozen=True, array_like=True, tag="order"):
+class LoadOrder(Struct, frozen=True, array_like=True, tag="order"):
     """The holder of a lease orders an endpoint to load a version; sent again until it serves it."""
 
     token: int
     """Fencing token: the offset of the holder's acquisition."""
-    order: str
+    order_id: str
     """Id of the order; the same order is carried out once."""
     target: str
 
 
-class OrderReply(Struct, frozen=True, array_like=True, tag="ordered"):
+class LoadOrderReply(Struct, frozen=True, array_like=True, tag="ordered"):
     """Whether the agent carries an order out."""
 
-    order: str
+    order_id: str
     is_accepted: bool
     reason: str = ""
 
@@ -314,16 +314,16 @@
     """Latencies in ms, as an encoded HDR histogram; empty where they are not kept."""
 
 
-class BurnAsk(Struct, frozen=True, array_like=True, tag="burn?"):
+class BurnRequest(Struct, frozen=True, array_like=True, tag="burn?"):
     """Send what you counted; asked when an operator wants to know, not all the time."""
 
-    ask: int
+    request_id: int
 
 
 class BurnReply(Struct, frozen=True, array_like=True, tag="burn"):
     """A router's whole book."""
 
-    ask: int
+    request_id: int
     slices: list[BurnSlice]
 
 
@@ -336,7 +336,7 @@
     revision: int
     agents: dict[str, list[int]] = {}
     """For each availability zone: agents known, and the lowest revision among them."""
-    age_s: float = -1.0
+    config_age_s: float = -1.0
     """How old the router's configuration may be at most; negative if it cannot say."""
 
 
@@ -355,7 +355,7 @@
     """Answers of which the pace is known."""
 
 
-class TrialReport(Struct, frozen=True, array_like=True):
+class CanaryReport(Struct, frozen=True, array_like=True):
     """How one router sees a roll-out on the direct path."""
 
     service: str
@@ -364,52 +364,52 @@
     state: str
     counts: list[RouteCounts]
     """Since the start of the roll-out, so that a lost report is made good by the next."""
-    kept_back: list[str] = []
+    kept_on_old: list[str] = []
     """Sessions that stay on the old version, though their share would send them to the new one."""
-    is_proved: bool = False
+    was_fully_loaded: bool = False
     """Whether an endpoint of the new version was loaded fully."""
-    moved: list[str] = []
+    moved_to_new: list[str] = []
     """Sessions that are on the new version, though their share would send them to the old one."""
-    written: str = ""
+    stored_state: str = ""
     """State that stands in the store, as the sender read or wrote it; empty where it did not."""
 
 
-class TrialNews(Struct, frozen=True, array_like=True, tag="moved"):
+class CanaryUpdate(Struct, frozen=True, array_like=True, tag="moved"):
     """What all routers are to know of a roll-out at once; the reports repeat it."""
 
     service: str
     target: str
-    moved: list[str]
+    moved_to_new: list[str]
     """Sessions that have just moved to the new version; others would send them to the old one."""
-    kept: list[str] = []
+    kept_on_old: list[str] = []
     """Sessions on the old version that others would send to the new one, in the first half."""
-    written: str = ""
+    stored_state: str = ""
     """State that stands in the store, as the sender read or wrote it."""
 
 
-class CrashTold(Struct, frozen=True, array_like=True):
+class CrashNotice(Struct, frozen=True, array_like=True):
     """An endpoint ended while a request was under way there; ages are from the sending on."""
 
     key: str
     lifetime: str
-    place: str
+    service_version: str
     """Service and version that the endpoint ran."""
-    began_age_s: float
-    ended_age_s: float
+    started_age_s: float
+    crash_age_s: float
 
 
-class EndTold(Struct, frozen=True, array_like=True):
+class RunEndNotice(Struct, frozen=True, array_like=True):
     """A run of a request ended with its endpoint alive, so long ago."""
 
     key: str
     age_s: float
 
 
-class ProbeTold(Struct, frozen=True, array_like=True):
+class ProbeNotice(Struct, frozen=True, array_like=True):
     """A probe of a request that is held was let through, so long ago."""
 
     key: str
-    place: str
+    service_version: str
     probes: int
     """How many that made."""
     age_s: float
@@ -417,15 +417,15 @@
     """How long from now on it may last; 0 where it is over."""
 
 
-class CrashNews(Struct, frozen=True, array_like=True, tag="crash"):
+class CrashUpdate(Struct, frozen=True, array_like=True, tag="crash"):
     """What routers tell each other of crashes; any part may come again, late or never."""
 
-    crashes: list[CrashTold] = []
-    ends: list[EndTold] = []
-    probes: list[ProbeTold] = []
+    crashes: list[CrashNotice] = []
+    run_ends: list[RunEndNotice] = []
+    probes: list[ProbeNotice] = []
 
 
-class LimitTold(Struct, frozen=True, array_like=True):
+class LimitNotice(Struct, frozen=True, array_like=True):
     """A rate that an endpoint named so long ago, or that it named none any more."""
 
     lifetime: str
@@ -434,42 +434,42 @@
     """Requests a second from all routers together; None where the limit was over."""
 
 
-class LeavingTold(Struct, frozen=True, array_like=True):
+class DrainNotice(Struct, frozen=True, array_like=True):
     """That an endpoint said so long ago that it leaves."""
 
     lifetime: str
     age_s: float
 
 
-class EndpointNews(Struct, frozen=True, array_like=True, tag="limit"):
+class EndpointUpdate(Struct, frozen=True, array_like=True, tag="limit"):
     """What routers tell each other of what endpoints say; may come again, late, never."""
 
-    limits: list[LimitTold] = []
-    leaving: list[LeavingTold] = []
+    limits: list[LimitNotice] = []
+    draining: list[DrainNotice] = []
 
 
-class ProbeAsk(Struct, frozen=True, array_like=True, tag="probe?"):
+class ProbeRequest(Struct, frozen=True, array_like=True, tag="probe?"):
     """May the sender run a request that is held?"""
 
-    ask: int
+    request_id: int
     key: str
-    place: str
+    service_version: str
     lease_s: float
     """How long the run lasts at most."""
 
 
 class ProbeReply(Struct, frozen=True, array_like=True, tag="probe"):
-    """The answer to a `ProbeAsk`."""
+    """The answer to a `ProbeRequest`."""
 
-    ask: int
+    request_id: int
     is_granted: bool
-    retry_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 class EndpointUse(Struct, frozen=True, array_like=True):
     """What one router has under way on one endpoint."""
 
-    endpoint: str
+    lifetime: str
     """Its lifetime: what is told of one that is over concerns no other."""
     running: int
     reading_s: float
@@ -478,32 +478,32 @@
     """Largest model that reads a long prompt there, the smallest of a route 0; -1 for none."""
 
 
-class ViewAsk(Struct, frozen=True, array_like=True, tag="view?"):
+class ViewRequest(Struct, frozen=True, array_like=True, tag="view?"):
     """What has changed in a stream of the platform's store? Held while nothing has."""
 
-    ask: int
+    request_id: int
     incarnation: int
     """Of the router that asks."""
     stream: str
     offset: int
     hold_s: float
-    is_patient: bool = False
+    is_held_during_outage: bool = False
     """Whether to hold it also where the store cannot be read: the asker cannot either."""
 
 
 class ViewReply(Struct, frozen=True, array_like=True, tag="view"):
     """What a router knows of a stream, as its own reads told it."""
 
-    ask: int
+    request_id: int
     incarnation: int
-    is_known: bool
+    is_offset_known: bool
     """Whether it can tell what came after the offset."""
     end: int = -1
     age_s: float = 0.0
     """How old its view is."""
     held_s: float = 0.0
     """How long it held the ask, before it looked at its view."""
-    was_away: bool = False
+    is_after_outage: bool = False
     """Whether the store had been away when it told this."""
     records: list[tuple[str, EndpointEntry | None]] = []
     """Changed entries of endpoints; None where one is gone."""
@@ -520,8 +520,8 @@
     incarnation: int
     seq: int
     uses: list[EndpointUse]
-    trials: list[TrialReport]
-    returns_s: float = 0.0
+    canaries: list[CanaryReport]
+    retry_after_s: float = 0.0
     """Time until the router takes streams again; 0 where it does now."""
     zone: str = ""
     link_mbps: float = 0.0
@@ -533,30 +533,30 @@
     | Start
     | Cancel
     | Fetch
-    | Billed
+    | UsageConfirmation
     | ConfigRecords
     | ConfigSnapshot
-    | NeedConfig
+    | ConfigRequest
     | Withdrawal
-    | Beat
-    | Taken
+    | Heartbeat
+    | AttemptAccepted
     | Refused
     | Chunk
     | Finished
     | Failed
-    | HandOver
+    | UsageHandover
     | RouterDigest
     | Evidence
-    | BurnAsk
+    | BurnRequest
     | BurnReply
-    | Order
-    | OrderReply
+    | LoadOrder
+    | LoadOrderReply
     | PeerReport
-    | TrialNews
-    | CrashNews
-    | EndpointNews
-    | ProbeAsk
+    | CanaryUpdate
+    | CrashUpdate
+    | EndpointUpdate
+    | ProbeRequest
     | ProbeReply
-    | ViewAsk
+    | ViewRequest
     | ViewReply
 )
--- a/umberhitch/wire/_packing.py
+++ b/umberhitch/wire/_packing.py
@@ -9,9 +9,9 @@
 
 __all__ = ["pack_value", "unpack_value"]
 
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Of zlib: the fastest; a change of 1,400 routes, 0.3 MB as text, becomes some 25 kB in 3 ms."""
-MOST_BYTES = 8 * 1024 * 1024
+MAX_UNPACKED_BYTES = 8 * 1024 * 1024
 """What is larger when unpacked is not taken."""
 
 
@@ -37,7 +37,7 @@
             packed = _Packed(zone=value)
         case None:
             packed = _Packed()
-    return zlib.compress(msgpack.encode(packed), LEVEL)
+    return zlib.compress(msgpack.encode(packed), COMPRESSION_LEVEL)
 
 
 def unpack_value(data: bytes) -> DocumentChange | RolloutOrder | ZoneOut | None:
@@ -50,7 +50,7 @@
     """
     unpacker = zlib.decompressobj()
     try:
-        packed = _decoder.decode(unpacker.decompress(data, MOST_BYTES))
+        packed = _decoder.decode(unpacker.decompress(data, MAX_UNPACKED_BYTES))
     except (zlib.error, ValidationError, DecodeError) as exc:
         raise FrameError(f"malformed value: {exc}") from exc
     return packed.change or packed.order or packed.zone
--- a/umberhitch/wire/tests/test_older_peers.py
+++ b/umberhitch/wire/tests/test_older_peers.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, msgpack
 
 from umberhitch.core.direct import EndpointEntry, EndpointState
-from umberhitch.wire import PeerReport, TrialNews, ViewReply, decode_frame, encode_frame
+from umberhitch.wire import CanaryUpdate, PeerReport, ViewReply, decode_frame, encode_frame
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
 
 def test_an_older_peer_reads_only_the_sessions_that_moved():
-    frame = encode_frame("r1", [TrialNews("svc", "v2", ["s1"], ["s2"], "completed")])
+    frame = encode_frame("r1", [CanaryUpdate("svc", "v2", ["s1"], ["s2"], "completed")])
     assert msgpack.decode(frame, type=_OldFrame).messages == [_OldMoved("svc", "v2", ["s1"])]
 
 
@@ -66,5 +66,5 @@
     )
     reply, moved = decode_frame(frame).messages
     assert reply.records[0][1].born is None
-    assert moved == TrialNews("s", "v", [], [])
+    assert moved == CanaryUpdate("s", "v", [], [])
     assert not isinstance(reply, PeerReport)
--- a/umberhitch/wire/tests/test_packing.py
+++ b/umberhitch/wire/tests/test_packing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from umberhitch.core.direct import RolloutOrder, change_between
+from umberhitch.core.direct import RolloutOrder, diff_documents
 from umberhitch.errors import FrameError
 from umberhitch.testing import make_direct_document, make_route
 from umberhitch.wire import _packing, pack_value, unpack_value
@@ -13,7 +13,7 @@
 NEW = make_direct_document(2, routes=(make_route("look"), make_route("new")), keys=("k9",))
 
 
-@pytest.mark.parametrize("value", [None, RolloutOrder("svc", "v2", 20.0), change_between(OLD, NEW)])
+@pytest.mark.parametrize("value", [None, RolloutOrder("svc", "v2", 20.0), diff_documents(OLD, NEW)])
 def test_a_value_survives_packing(value):
     assert unpack_value(pack_value(value)) == value
 
@@ -27,4 +27,4 @@
 def test_what_is_too_large_is_not_unpacked(monkeypatch):
     monkeypatch.setattr(_packing, "MOST_BYTES", 100)
     with pytest.raises(FrameError):
-        unpack_value(pack_value(change_between(OLD, NEW)))
+        unpack_value(pack_value(diff_documents(OLD, NEW)))
