--- a/umberhitch/adapters/tests/test_h11_callers.py
+++ b/umberhitch/adapters/tests/test_h11_callers.py
@@ -192,7 +192,7 @@
     protocol.dataReceived(GET)
     seen: list[str] = []
     reply = handler.asked[0][1]
-    reply.on_pressure(lambda: seen.append("pause"), lambda: seen.append("resume"))
+    reply.set_flow_control(lambda: seen.append("pause"), lambda: seen.append("resume"))
     transport.producer.pauseProducing()
     transport.producer.resumeProducing()
     assert seen == ["pause", "resume"]
--- a/umberhitch/core/direct/__init__.py
+++ b/umberhitch/core/direct/__init__.py
@@ -1,4 +1,7 @@
-"""Decisions of the direct path, on which a router calls endpoints itself; no socket, no clock."""
+"""Decision logic of the direct path, on which a router itself calls the endpoints.
+
+Nothing here uses a socket or a clock.
+"""
 
 from umberhitch.core.direct._advertised_limits import (
     AdvertisedLimit,
--- a/umberhitch/core/direct/_advertised_limits.py
+++ b/umberhitch/core/direct/_advertised_limits.py
@@ -1,7 +1,8 @@
-"""The rates that endpoints in need name in their answers, as this router knows them.
+"""The rate limits that overloaded endpoints advertise in their answers, as known to this router.
 
-An endpoint takes such a rate from all routers together, as long as it says so: an answer that names
-none ends it. What a router hears it tells its peers, with its age, and the newest word wins.
+Such a limit applies to the requests of all routers together, and until an answer of the endpoint
+names no limit. Routers report the limits to their peers with the age of the answer, and the newest
+answer wins.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,30 +14,30 @@
 __all__ = ["AdvertisedLimit", "AdvertisedLimits", "LimitChange", "LimitRules"]
 
 MIN_RATE = 0.1
-"""Requests a second that are sent at least, all routers together: only an answer tells that an
-endpoint which takes nothing takes work again."""
+"""Minimum number of requests per second from all routers together. Only an answer shows that an
+endpoint which accepted nothing accepts requests again."""
 CONCURRENT_LISTS = 1.0 + UNREGISTERED_SHARE
-"""Lists in force at once: that of the routers that have their seats, and an older one of others."""
+"""Router lists in use at once: that of the registered routers, and an older one of the others."""
 RATE_PER_SENDER = 0.5
-"""Requests a second of a router that go to one endpoint: two in a span, so that few of its share
-are lost to chance, also where many routers have little work each."""
+"""Requests per second from one router to one endpoint. These are two in a span, so that little of
+its quota stays unused by chance, also where many routers have few requests each."""
 NOTIFY_FALL_RATIO = 0.8
-"""A rate that has fallen below so much of what the peers were told is told at once."""
+"""A rate that has fallen below this fraction of the last notified rate is notified at once."""
 MAX_NOTICE_DELAY_S = 0.5
-"""What a peer tells may have been so long on its way, beyond the age that it gives: a word that a
-limit is over counts only where it is newer by that."""
+"""Maximum transit time in seconds of a peer's notice, which its stated age doesn't include. A
+notice that a limit ended is applied only if it is newer than the limit by more than this time."""
 ENDED_KEPT_S = 10.0
-"""An end is remembered for so long, so that an older word does not bring the limit back."""
+"""Seconds for which the end of a limit is remembered, so that older notices don't restore it."""
 RECHECK_AFTER_S = 60.0
-"""A router that may not send there, and hears nothing of a limit for so long, looks for itself with
-one request: the senders hear of it with each answer, and tell on within seconds."""
+"""Seconds without a report of a limit after which a router that isn't a sender checks it with one
+request. The senders receive the limit with each answer, and notify the others within seconds."""
 RECHECK_S_PER_ROUTER = 2.0
-"""The same for each router: if all are cut off from each other, these requests add up to one in so
-long."""
+"""Minimum of the same time in seconds per router: if all routers are cut off from each other, their
+checks together are one request in this time."""
 
 
 class LimitChange(Enum):
-    """What an answer changes in what is known of an endpoint's limit."""
+    """Change of an endpoint's limit by an answer or a notice."""
 
     NONE = "none"
     STARTED = "begun"
@@ -46,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitRules:
-    """What bounds the requests that reach an endpoint which names a rate.
+    """Bound on the requests that reach an endpoint which advertises a rate.
 
     Attributes
     ----------
     span_s : float
-        In each span of so long
+        Length in seconds of the sliding span that the bound applies to.
     overrun : float
-        no more than so many times what the rate allows,
+        Factor by which the requests in a span may exceed the rate.
     slack : float
-        and so many requests more.
+        Number of requests allowed in a span in addition.
     """
 
     span_s: float = 4.0
@@ -63,7 +64,7 @@
     slack: float = 5.0
 
     def bound(self, rate: float) -> FleetBound:
-        """Return the bound of an endpoint that names a rate."""
+        """Return the bound of an endpoint that advertises a rate."""
         rate = max(MIN_RATE, rate)
         return FleetBound(
             rate,
@@ -78,22 +79,22 @@
 
 @dataclass(slots=True)
 class AdvertisedLimit:
-    """The limit that an endpoint names.
+    """The limit that an endpoint advertises.
 
     Attributes
     ----------
     rate : float
-        Requests a second, from all routers together.
-    heard_s : float
-        When an answer named it last, here or at a peer.
+        Requests per second from all routers together.
+    received_s : float
+        When this router or a peer last received an answer that names the limit.
     since_s : float
-        Since when it is known here.
+        Since when this router knows the limit.
     source : str
-        How it is known: by its own answer, or from which peer.
-    told_rate : float
-        What the peers were told last.
-    looked_s : float
-        When this router sent a request there last to see whether the limit still stands.
+        How the limit became known: by an answer of the endpoint, or the name of the peer.
+    notified_rate : float
+        Rate that the peers were last notified of.
+    rechecked_s : float
+        When this router last sent a request to check whether the limit still applies.
     """
 
     rate: float
@@ -106,7 +107,7 @@
 
 @dataclass(slots=True)
 class AdvertisedLimits:
-    """The limits that stand, by lifetime of the endpoint."""
+    """The limits that apply now, by lifetime of the endpoint."""
 
     _limits: dict[str, AdvertisedLimit] = field(default_factory=dict)
     _ended_s: dict[str, float] = field(default_factory=dict)
@@ -122,7 +123,7 @@
         return self._limits.get(lifetime)
 
     def apply_answer(self, lifetime: str, rate: float | None, now_s: float) -> LimitChange:
-        """Take what an answer says, and return what that changes."""
+        """Apply the rate that an answer names, if any, and return the change."""
         known = self._limits.get(lifetime)
         if rate is None:
             if known is None:
@@ -142,26 +143,26 @@
     def apply_notice(
         self, lifetime: str, rate: float, age_s: float, peer: str, now_s: float
     ) -> LimitChange:
-        """Take a limit that a peer tells, heard so long ago; it may be an old word."""
-        heard_s = now_s - max(0.0, age_s)
-        if heard_s <= self._ended_s.get(lifetime, float("-inf")):
+        """Apply a limit that a peer received ``age_s`` seconds ago, unless newer state is known."""
+        received_s = now_s - max(0.0, age_s)
+        if received_s <= self._ended_s.get(lifetime, float("-inf")):
             return LimitChange.NONE
         known = self._limits.get(lifetime)
         if known is None:
-            self._limits[lifetime] = AdvertisedLimit(rate, heard_s, now_s, peer, rate)
+            self._limits[lifetime] = AdvertisedLimit(rate, received_s, now_s, peer, rate)
             return LimitChange.STARTED
-        if heard_s > known.received_s:
-            known.rate, known.received_s, known.source = rate, heard_s, peer
+        if received_s > known.received_s:
+            known.rate, known.received_s, known.source = rate, received_s, peer
             known.notified_rate = rate
         return LimitChange.NONE
 
     def apply_end_notice(self, lifetime: str, age_s: float, now_s: float) -> LimitChange:
-        """Take a peer's word that a limit was over so long ago."""
-        over_s = now_s - max(0.0, age_s) - MAX_NOTICE_DELAY_S
+        """Apply a peer's notice that a limit ended ``age_s`` seconds ago."""
+        ended_s = now_s - max(0.0, age_s) - MAX_NOTICE_DELAY_S
         known = self._limits.get(lifetime)
-        if known is None or known.received_s >= over_s:
+        if known is None or known.received_s >= ended_s:
             return LimitChange.NONE
-        self._end(lifetime, over_s)
+        self._end(lifetime, ended_s)
         return LimitChange.ENDED
 
     def _end(self, lifetime: str, at_s: float) -> None:
@@ -169,7 +170,7 @@
         self._ended_s[lifetime] = at_s
 
     def recently_ended(self, now_s: float) -> dict[str, float]:
-        """Return the lifetimes whose limit has lately come to its end, and when."""
+        """Return when limits ended, by lifetime, for those that ended recently."""
         self._ended_s = {
             lifetime: at_s
             for lifetime, at_s in self._ended_s.items()
@@ -180,21 +181,21 @@
     def may_recheck(
         self, limit: AdvertisedLimit, routers: int, jitter: float, now_s: float
     ) -> bool:
-        """Whether a router that is no sender may see for itself whether a limit still stands.
+        """Whether a router that isn't a sender may check whether a limit still applies.
 
         Parameters
         ----------
         limit : AdvertisedLimit
         routers : int
         jitter : float
-            From 0 to 1, by the router: they do not look at the same time.
+            From 0 to 1, different for each router, so that they don't check at the same time.
         now_s : float
         """
-        silent_s = max(RECHECK_AFTER_S, RECHECK_S_PER_ROUTER * routers) * (1.0 + jitter)
-        return now_s > max(limit.received_s, limit.rechecked_s) + silent_s
+        recheck_after_s = max(RECHECK_AFTER_S, RECHECK_S_PER_ROUTER * routers) * (1.0 + jitter)
+        return now_s > max(limit.received_s, limit.rechecked_s) + recheck_after_s
 
     def forget(self, known: Iterable[str]) -> None:
-        """Keep only what concerns lifetimes of endpoints that are still known."""
+        """Remove the state of lifetimes that aren't among the known ones."""
         if not self._limits and not self._ended_s:
             return
         keep = set(known)
--- a/umberhitch/core/direct/_answer_value.py
+++ b/umberhitch/core/direct/_answer_value.py
@@ -1,4 +1,4 @@
-"""What an answer is worth to its caller, by its size and by when it begins."""
+"""Value of an answer to its caller, by its size and the time at which it starts."""
 
 from dataclasses import dataclass
 
@@ -7,26 +7,26 @@
 __all__ = ["AnswerValue", "AnswerValueLimits", "make_answer_value"]
 
 MIN_SLOPE_S = 0.001
-"""Least time between in time and late, where a route names no objective; seconds."""
+"""Shortest time between on time and late, where a route has no objective; seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerValueLimits:
-    """What is not observable, and so is set.
+    """Parameters that cannot be observed and are therefore configured.
 
     Attributes
     ----------
-    token_worth : float
-        Worth of 1,000 tokens of a request, an output token counted as ten, in the unit of the
-        models' prices: what users pay for models is small against what answers are worth to them.
-    rank_share : float
-        What the same answer is worth on a route that is one rank less urgent: the ranks are all
-        that the configuration says of what matters more.
+    value_per_kilotoken : float
+        Value of 1,000 tokens of a request, in the unit of the models' prices; an output token
+        counts as ten. What users pay for models is small compared with the value of the answers.
+    priority_factor : float
+        Factor by which the value of the same answer falls with each less urgent priority.
+        Priorities are all that the configuration says about importance.
     late_share : float
-        What a late answer is worth of one in time.
-    soon : float
-        Share of the objective up to which an expected first event is in time for sure; at the
-        objective itself it is late for sure, since estimates of queues are low.
+        Value of a late answer as a share of the value of one on time.
+    on_time_share : float
+        Share of the objective up to which an expected first event counts as certainly on time. At
+        the objective itself it counts as certainly late, since estimates of queues are too low.
     """
 
     value_per_kilotoken: float = 0.35
@@ -37,17 +37,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerValue:
-    """What one answer is worth; times in seconds.
+    """Value of one answer as a function of the time of its first event; times in seconds.
 
     Attributes
     ----------
-    worth : float
-        In time, in the unit of the models' prices, times
-    rank_share : float
-        what the rank of the route makes of it.
+    value : float
+        Value if on time, in the unit of the models' prices, with `priority_weight` applied.
+    priority_weight : float
+        Factor for the priority of the route.
     late_share : float
-    soon_s, objective_s : float
-        Expected first events up to ``soon_s`` are in time for sure, from ``objective_s`` late.
+        Value of a late answer as a share of `value`.
+    on_time_s : float
+        Expected first events up to this time are certainly on time.
+    objective_s : float
+        Expected first events from this time on are certainly late.
     """
 
     value: float
@@ -57,13 +60,13 @@
     objective_s: float
 
     def value_fraction(self, first_event_s: float) -> float:
-        """Return which share of its worth an answer with its first event then has."""
-        late = (first_event_s - self.on_time_s) / self._slope_s
-        return 1.0 - min(1.0, max(0.0, late)) * (1.0 - self.late_share)
+        """Return the fraction of the value that an answer has with its first event at a time."""
+        lateness = (first_event_s - self.on_time_s) / self._slope_s
+        return 1.0 - min(1.0, max(0.0, lateness)) * (1.0 - self.late_share)
 
     @property
     def loss_per_s(self) -> float:
-        """Worth that a second of delay costs, between in time and late."""
+        """Value that a second of delay costs, between on time and late."""
         return self.value * (1.0 - self.late_share) / self._slope_s
 
     @property
@@ -71,9 +74,11 @@
         return max(MIN_SLOPE_S, self.objective_s - self.on_time_s)
 
 
-def make_answer_value(route: Route, ask: CallerRequest, limits: AnswerValueLimits) -> AnswerValue:
-    """Return what a request's answer is worth."""
-    worth = limits.value_per_kilotoken * (ask.prompt_tokens + 10 * ask.output_tokens) / 1000
-    rank_share = limits.priority_factor**route.priority
-    soon_s = limits.on_time_share * route.objective_s
-    return AnswerValue(worth * rank_share, rank_share, limits.late_share, soon_s, route.objective_s)
+def make_answer_value(route: Route, req: CallerRequest, limits: AnswerValueLimits) -> AnswerValue:
+    """Return the value of the answer to a request."""
+    value = limits.value_per_kilotoken * (req.prompt_tokens + 10 * req.output_tokens) / 1000
+    priority_weight = limits.priority_factor**route.priority
+    on_time_s = limits.on_time_share * route.objective_s
+    return AnswerValue(
+        value * priority_weight, priority_weight, limits.late_share, on_time_s, route.objective_s
+    )
--- a/umberhitch/core/direct/_canary.py
+++ b/umberhitch/core/direct/_canary.py
@@ -1,13 +1,15 @@
-"""One roll-out on the direct path: the share that the new version gets, and the verdict.
-
-During the first half the new version gets a small, fixed share: a session keeps the version on
-which it began. Evidence is pooled over all routers. Then one of its endpoints gets all light work
-for a while, so that it is loaded fully: a version that fails under load shows it before much has
-run on it. If it was, all work moves then. If too little came to load it, the new version gets no
-more than the users' exposure bound allows a bad one, and all work moves near the end: one that
-shows nothing before it bears all the load has had no more by then. A session moves once and never
-back. A version that fails more than the old one gets nothing any more, at once; one that has shown
-nothing bad is declared good before its time is over.
+"""Canary roll-out on the direct path: traffic share of the new version and the decision about it.
+
+During the first half of the roll-out the new version gets a small, fixed share of the traffic, and
+a session keeps the version on which it started. The answers are counted over all routers. Then a
+load test follows: one endpoint of the new version gets all light work for a while, so that it is
+fully loaded and a version that fails under load shows it before it has run much. If the endpoint
+was fully loaded, all traffic moves to the new version after the load test. If there was too little
+traffic to load it, the new version gets no more than the users' exposure bound allows for a bad
+version, and all traffic moves near the end: a version whose fault shows only under the full load
+has then received no more than the bound. A session moves once and never back. A version that fails
+more than the old one is rolled back at once; one without bad evidence is declared good before the
+end of the roll-out.
 """
 
 from collections import OrderedDict
@@ -20,50 +22,61 @@
 
 MAX_SESSIONS = 20_000
 LOAD_TEST_TAIL = 0.08
-"""Part of the time in which what began under the proof's load comes to its end."""
+"""Fraction of the roll-out after the load test in which answers that started under it finish."""
 BREAK_DEDUPLICATION_S = 1.0
-"""An endpoint that is lost breaks off all its answers within such a time."""
+"""Seconds within which an endpoint that is lost breaks off all its answers."""
 
 
 @dataclass(frozen=True, slots=True)
 class CanaryLimits:
-    """How a roll-out goes.
+    """Schedule and thresholds of a roll-out; its progress runs from 0 to 1.
 
     Attributes
     ----------
-    first_share : float
+    canary_share : float
         Share of the work for the new version in the first half; below the users' exposure bound.
-    half : float
-        Part of the time from which on light work goes to one endpoint of the new version as far as
-        that has room, and
-    proved : float
-        up to which it does; then all new work goes to the new version if the endpoint was full, and
-        else its share.
-    first_all_part, all_part : float
-        Part of the time from which on all new work may go also to a version that was not, if what
-        is left of the bound covers it to the end, and from which on it does.
-    exposure_share, exposure_slack : float
-        The users' bound for a bad version: its share of all requests, and so many besides.
-    exposure_proof : float
-        Share of the bound that is used while one endpoint is loaded.
-    exposure_kept : float
-        Share of the bound that is used besides before all work moves, and of the slack that is
-        counted on: answers that were dropped for a larger model's are requests, too, and not
-        counted here.
-    done_part, last_part : float
-        Part of the time after which a good version that bore full load is declared so once nothing
-        runs on the old one any more, and after which it is whatever runs there.
-    late_done_part, late_last_part : float
-        The same for one that did not.
-    failed, broken, slow : EvidenceThreshold
-        An endpoint that is lost breaks off answers though its version is good, and load makes them
-        slow, all at once: so those have to be more than failures by the endpoint's own word.
+    load_test_start : float
+        Progress from which light work goes to one endpoint of the new version, as far as that
+        endpoint has capacity.
+    load_test_end : float
+        Progress at which the load test ends. From then on all new work goes to the new version if
+        the endpoint was fully loaded, and `canary_share` of the work if not.
+    full_load : float
+        Share of an endpoint's slots that must be in use for it to count as fully loaded.
+    min_full_shift : float
+        Progress from which all new work may go to a version that was not load tested, provided the
+        remaining exposure bound covers it to the end.
+    max_full_shift : float
+        Progress from which all new work goes to such a version in any case.
+    exposure_share : float
+        The users' bound for a bad version, as a share of all requests.
+    exposure_slack : float
+        Requests that the bound allows in addition.
+    load_test_exposure_use : float
+        Share of the bound that is used during the load test.
+    exposure_use : float
+        Share of the bound that is used at other times before all work moves, and share of the slack
+        that is relied on. Answers that were dropped for a larger model's count as requests in the
+        bound, but are not counted here.
+    drained_completion : float
+        Progress from which a load-tested version is declared good once no call runs on the old one.
+    forced_completion : float
+        Progress from which a load-tested version is declared good whatever runs on the old one.
+    untested_drained_completion, untested_forced_completion : float
+        The same for a version that was not load tested.
+    failed : EvidenceThreshold
+        Threshold for failures that the endpoint itself reported.
+    broken, slow : EvidenceThreshold
+        Thresholds for broken and slow answers. They are higher than the one for failures: a lost
+        endpoint breaks off all its answers at once, and load makes them slow all at once, though
+        the version is good.
     session_s : float
-        Requests of a session belong together where one begins so soon after the one before ended.
+        Longest pause in seconds between the end of one request of a session and the start of the
+        next.
     settle_s : float
-        Until so long after the order the new version gets nothing: routers take the order within
-        some tenths of a second of each other, and tell each other by then which sessions are on
-        the old version.
+        Seconds after the order during which the new version gets no traffic. Routers receive the
+        order within some tenths of a second of each other, and by then have reported to each other
+        which sessions are on the old version.
     """
 
     canary_share: float = 0.07
@@ -90,24 +103,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Pin:
-    """The version of a session, and when a request of it began or ended last."""
+class _SessionPin:
+    """Version of a session, and the last start or end of one of its requests."""
 
     is_target: bool
     at_s: float
     draw: float
     is_own: bool = False
-    """Whether this router sent it there; what it only heard it does not tell on."""
+    """Whether this router made the choice; what peers reported is not passed on."""
 
 
 class Canary:
-    """One router's view of one roll-out.
+    """One router's state of one roll-out.
 
     Parameters
     ----------
     order : RolloutOrder
     started_s : float
-        When this router took the order, or before that as far as a peer told.
+        Time at which this router received the order, or an earlier one that a peer has reported.
     limits : CanaryLimits
     """
 
@@ -118,23 +131,24 @@
         self.state = RolloutState.IN_PROGRESS
         self.own_counts: dict[tuple[bool, str], AnswerCounts] = {}
         self.is_load_tested = False
-        """Whether an endpoint of the new version was loaded fully."""
+        """Whether an endpoint of the new version was fully loaded."""
         self.unreported_moved: list[str] = []
-        """Sessions that other routers would send to the old version, and that they have not been
-        told of yet."""
+        """Sessions on the new version that other routers would send to the old one, and that have
+        not been reported to them yet."""
         self.unreported_pinned: list[str] = []
-        """The same of sessions on the old version that others would send to the new one."""
-        self._bears_all = False
-        self._others: dict[str, dict[tuple[bool, str], AnswerCounts]] = {}
+        """Sessions on the old version that other routers would send to the new one, and that have
+        not been reported to them yet."""
+        self._takes_all_traffic = False
+        self._router_counts: dict[str, dict[tuple[bool, str], AnswerCounts]] = {}
         self._broken_s: dict[str, float] = {}
-        self._sessions: OrderedDict[str, _Pin] = OrderedDict()
+        self._sessions: OrderedDict[str, _SessionPin] = OrderedDict()
 
     def progress(self, now_s: float) -> float:
-        """Return which part of the time has passed."""
+        """Return the fraction of the roll-out's duration that has elapsed."""
         return (now_s - self.started_s) / max(0.001, self.order.duration_s)
 
     def traffic_share(self, now_s: float, is_light: bool = False) -> float:
-        """Return the share of the work that the new version gets now."""
+        """Return the current share of the work for the new version."""
         match self.state:
             case RolloutState.ROLLED_BACK:
                 return 0.0
@@ -148,45 +162,51 @@
 
     def takes_all_traffic(self, now_s: float) -> bool:
         """Whether all new work goes to the new version."""
-        limits, part = self.limits, self.progress(now_s)
+        limits, progress = self.limits, self.progress(now_s)
         if self.is_load_tested:
-            return part >= limits.load_test_end
-        if part < limits.min_full_shift:
+            return progress >= limits.load_test_end
+        if progress < limits.min_full_shift:
             return False
-        self._bears_all = self._bears_all or part >= limits.max_full_shift or self._has_room(part)
-        return self._bears_all
+        self._takes_all_traffic = (
+            self._takes_all_traffic
+            or progress >= limits.max_full_shift
+            or self._covers_rest(progress)
+        )
+        return self._takes_all_traffic
 
-    def _has_room(self, part: float) -> bool:
-        """Whether the bound covers all that will come from now to the end, and a fifth more."""
+    def _covers_rest(self, progress: float) -> bool:
+        """Whether the exposure bound covers 1.2 times the requests expected until the end."""
         limits = self.limits
         new = self.pooled_counts(True).answers
-        at_end = (new + self.pooled_counts(False).answers) / part
+        at_end = (new + self.pooled_counts(False).answers) / progress
         room = limits.exposure_share * at_end + limits.exposure_use * limits.exposure_slack - new
-        return 1.2 * (1.0 - part) * at_end <= room
+        return 1.2 * (1.0 - progress) * at_end <= room
 
     def is_within_exposure(self, now_s: float, new_running: int, old_running: int) -> bool:
-        """Whether the new version may get one more request before all work moves.
+        """Whether the exposure bound allows the new version one more request.
+
+        There is no bound once all work moves.
 
         Parameters
         ----------
         now_s : float
         new_running, old_running : int
-            Calls under way, which no answer tells of yet.
+            Running calls on each version, which are not yet in the counts of answers.
         """
         if self.state is not RolloutState.IN_PROGRESS or self.takes_all_traffic(now_s):
             return True
         limits = self.limits
         new = self.pooled_counts(True).answers + new_running + 1
         total = new + self.pooled_counts(False).answers + old_running
-        kept = limits.load_test_exposure_use if self.is_load_testing(now_s) else limits.exposure_use
-        return new <= kept * (limits.exposure_share * total + limits.exposure_slack)
+        use = limits.load_test_exposure_use if self.is_load_testing(now_s) else limits.exposure_use
+        return new <= use * (limits.exposure_share * total + limits.exposure_slack)
 
     def pins_sessions(self, now_s: float) -> bool:
-        """Whether sessions still stay where they are."""
+        """Whether sessions on the old version still stay there."""
         return self.progress(now_s) < self.limits.load_test_start
 
     def is_load_testing(self, now_s: float) -> bool:
-        """Whether one endpoint of the new version is loaded first."""
+        """Whether one endpoint of the new version is being loaded."""
         return not self.pins_sessions(now_s) and self.progress(now_s) < self.limits.load_test_end
 
     def routes_to_target(
@@ -204,15 +224,15 @@
         ----------
         session : str or None
         draw : float
-            0 to 1; the same for every request of a session, whichever router it reaches.
+            Number from 0 to 1 that is the same for all requests of a session at every router.
         now_s : float
         has_target : bool
-            Whether an endpoint of the new version takes work.
+            Whether an endpoint of the new version accepts work.
         is_light : bool
-            Whether the request reads little.
+            Whether the request needs little prefill.
         is_within_exposure : bool
-            Whether the new version may get more, see `is_within_bound`. The sessions of its share
-            it gets always, so that they stay where they are.
+            Whether the new version may get more, see `is_within_exposure`. It always gets the
+            sessions of its share, so that they stay where they are.
         """
         share = self.traffic_share(now_s, is_light)
         if not is_within_exposure:
@@ -223,84 +243,85 @@
         known = self._sessions.pop(session, None)
         if known is not None and now_s - known.at_s <= self.limits.session_s:
             if known.is_target:
-                chosen = True  # never back
+                chosen = True  # a session never moves back
             elif self.pins_sessions(now_s):
-                chosen = False  # begun on the old version: stays for the first half
+                chosen = False  # started on the old version: stays there for the first half
         was_target = known is not None and known.is_target
-        if chosen and not was_target and self._is_told(draw, now_s):
+        if chosen and not was_target and self._reports_moved(draw, now_s):
             self.unreported_moved.append(session)
-        if not chosen and self._is_kept(draw, now_s):
+        if not chosen and self._reports_pinned(draw, now_s):
             self.unreported_pinned.append(session)
-        self._sessions[session] = _Pin(chosen, now_s, draw, True)
+        self._sessions[session] = _SessionPin(chosen, now_s, draw, True)
         while len(self._sessions) > MAX_SESSIONS:
             self._sessions.popitem(last=False)
         return chosen
 
     def note_request_finished(self, session: str, now_s: float) -> None:
-        """Note that a request of a session has ended: the session lasts from then."""
+        """Record the end of a session's request, from which the session's timeout runs."""
         pin = self._sessions.get(session)
         if pin is not None:
             self._sessions[session] = replace(pin, at_s=now_s)
 
     def note_old_session(self, session: str, at_s: float, draw: float) -> None:
-        """Note a session that is on the old version, here or at another router."""
+        """Record a session that is on the old version, here or at another router."""
         known = self._sessions.get(session)
         if known is None or (not known.is_target and known.at_s < at_s):
-            self._sessions[session] = _Pin(False, at_s, draw)
+            self._sessions[session] = _SessionPin(False, at_s, draw)
 
     def pinned_sessions(self, now_s: float) -> list[str]:
-        """Return the sessions that another router would send to the new version, and must not.
+        """Return the sessions that another router must not send to the new version.
 
-        They are on the old version and began there before the roll-out, though their draw is within
-        the share of the first half.
+        They started on the old version before the roll-out, though their draw is within the share
+        of the first half.
         """
         oldest_s = now_s - self.limits.session_s
         return [
             session
             for session, pin in self._sessions.items()
-            if not pin.is_target and pin.at_s >= oldest_s and self._is_kept(pin.draw, now_s)
+            if not pin.is_target and pin.at_s >= oldest_s and self._reports_pinned(pin.draw, now_s)
         ]
 
-    def _is_kept(self, draw: float, now_s: float) -> bool:
-        """Whether others are told of a session on the old version: by its draw they would move it.
+    def _reports_pinned(self, draw: float, now_s: float) -> bool:
+        """Whether to report a session on the old version that peers would move, by its draw.
 
-        Only in the first half, in which sessions stay where they are.
+        This is only needed in the first half, in which sessions stay where they are.
         """
         if self.state is not RolloutState.IN_PROGRESS or not self.pins_sessions(now_s):
             return False
         return draw < self.limits.canary_share
 
     def moved_sessions(self, now_s: float) -> list[str]:
-        """Return the sessions that another router would send to the old version, and must not.
+        """Return the sessions that another router must not send to the old version.
 
-        They moved while one endpoint was loaded, and their draw is not within the share.
+        They moved during the load test, and their draw is not within the share.
         """
         oldest_s = now_s - self.limits.session_s
         return [
             session
             for session, pin in self._sessions.items()
             if pin.is_own and pin.is_target and pin.at_s >= oldest_s
-            if self._is_told(pin.draw, now_s)
+            if self._reports_moved(pin.draw, now_s)
         ]
 
-    def _is_told(self, draw: float, now_s: float) -> bool:
-        """Whether others are told of a session that moved: by its draw they would not move it."""
+    def _reports_moved(self, draw: float, now_s: float) -> bool:
+        """Whether to report a moved session that peers would not move, by its draw."""
         if self.state is not RolloutState.IN_PROGRESS or draw < self.limits.canary_share:
             return False
         return not self.pins_sessions(now_s) and not self.takes_all_traffic(now_s)
 
     def note_moved_session(self, session: str, at_s: float, draw: float) -> None:
-        """Note a session that another router has sent to the new version."""
+        """Record a session that another router has sent to the new version."""
         known = self._sessions.get(session)
         if known is None or not known.is_target or known.at_s < at_s:
-            self._sessions[session] = _Pin(True, at_s, draw)
+            self._sessions[session] = _SessionPin(True, at_s, draw)
 
     def count_answer(
         self, is_target: bool, route: str, endpoint: str, verdict: AnswerVerdict, now_s: float
     ) -> None:
-        """Count an answer that this router got.
+        """Count an answer that this router received.
 
-        What broke off on one endpoint within `BREAK_DEDUPLICATION_S` counts once: it had one cause.
+        Answers that broke off on one endpoint within `BREAK_DEDUPLICATION_S` count once, since they
+        have one cause.
         """
         if verdict is AnswerVerdict.BROKEN:
             last_s = self._broken_s.get(endpoint, float("-inf"))
@@ -310,13 +331,13 @@
         self.own_counts.setdefault((is_target, route), AnswerCounts()).record(endpoint, verdict)
 
     def set_router_counts(self, router: str, counts: dict[tuple[bool, str], AnswerCounts]) -> None:
-        """Take what another incarnation of a router has counted since its start."""
-        self._others[router] = counts
+        """Replace the counts of another router's incarnation, which run from its start."""
+        self._router_counts[router] = counts
 
     def pooled_counts(self, is_target: bool, route: str | None = None) -> AnswerCounts:
-        """Return what all routers have counted of the new or of the old version."""
+        """Return the counts of all routers for the new or the old version."""
         total = AnswerCounts()
-        for source in (self.own_counts, *self._others.values()):
+        for source in (self.own_counts, *self._router_counts.values()):
             for (of_target, name), counts in source.items():
                 if of_target == is_target and route in (None, name):
                     total.add(counts)
@@ -324,26 +345,32 @@
 
     def routes(self) -> set[str]:
         """Return the routes on which there are answers."""
-        return {name for source in (self.own_counts, *self._others.values()) for _, name in source}
+        return {
+            name
+            for source in (self.own_counts, *self._router_counts.values())
+            for _, name in source
+        }
 
     def is_affected_by_load_test(self, now_s: float) -> bool:
-        """Whether answers may still be slow from the load of the proof."""
-        part = self.progress(now_s)
-        return self.limits.load_test_start <= part < self.limits.load_test_end + LOAD_TEST_TAIL
+        """Whether answers may still be slow because of the load test."""
+        progress = self.progress(now_s)
+        return self.limits.load_test_start <= progress < self.limits.load_test_end + LOAD_TEST_TAIL
 
     def is_failing(self) -> bool:
-        """Whether the evidence is against the new version, over all or on one route."""
+        """Whether the new version is worse than the old one, over all routes or on one."""
         if self._is_worse(None):
             return True
         return any(self._is_worse(route) for route in self.routes())
 
     def _is_worse(self, route: str | None) -> bool:
         new, old = self.pooled_counts(True, route), self.pooled_counts(False, route)
-        limits, on = self.limits, len(new.endpoints)
+        limits, endpoints = self.limits, len(new.endpoints)
         return (
-            limits.failed.is_exceeded(new.failed, new.answers, old.failed, old.answers, on)
-            or limits.broken.is_exceeded(new.broken, new.answers, old.broken, old.answers, on)
-            or limits.slow.is_exceeded(new.slow, new.paced, old.slow, old.paced, on)
+            limits.failed.is_exceeded(new.failed, new.answers, old.failed, old.answers, endpoints)
+            or limits.broken.is_exceeded(
+                new.broken, new.answers, old.broken, old.answers, endpoints
+            )
+            or limits.slow.is_exceeded(new.slow, new.paced, old.slow, old.paced, endpoints)
         )
 
     def next_state(self, now_s: float, old_running: int) -> RolloutState:
@@ -359,13 +386,13 @@
             return self.state
         if self.is_failing():
             return RolloutState.ROLLED_BACK
-        limits, part = self.limits, self.progress(now_s)
-        done_part = (
+        limits, progress = self.limits, self.progress(now_s)
+        drained_completion = (
             limits.drained_completion if self.is_load_tested else limits.untested_drained_completion
         )
-        last_part = (
+        forced_completion = (
             limits.forced_completion if self.is_load_tested else limits.untested_forced_completion
         )
-        if part >= done_part and (old_running == 0 or part >= last_part):
+        if progress >= drained_completion and (old_running == 0 or progress >= forced_completion):
             return RolloutState.COMPLETED
         return RolloutState.IN_PROGRESS
--- a/umberhitch/core/direct/_cascade.py
+++ b/umberhitch/core/direct/_cascade.py
@@ -1,8 +1,8 @@
-"""Which model answers a request, and when a small model's answer is dropped for a large one's.
+"""Model cascade: which model answers, and when a small model's answer yields to a large one's.
 
-A model declares its confidence with the head of its reply, before any event, so that a dropped
-answer costs a reading of the prompt and little else. The answer is dropped where the large model's
-is expected to be worth more, its price and the time that it takes counted in.
+A model declares its confidence in the head of its reply, before any event, so that a dropped answer
+costs little more than the prefill of the prompt. The answer is dropped where the large model's is
+expected to be worth more, with its price and the time that it takes included.
 """
 
 from collections.abc import Mapping
@@ -18,15 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CascadeLimits:
-    """What is known of answers.
+    """Parameters of the estimated quality of answers.
 
     Attributes
     ----------
-    middle, width : float
-        Confidence at which an answer is as often good as not, and how fast that changes: a logistic
-        curve. A straight line from 0 to 100 dropped too many good answers (`docs/results.md`).
+    middle : float
+        Confidence at which an answer is good with a probability of one half.
+    width : float
+        Width of the logistic curve that maps confidence to the probability of a good answer. A
+        straight line from 0 to 100 dropped too many good answers.
     price : float
-        Price of a model of which none is known, for 1,000 tokens generated.
+        Price for 1,000 generated tokens of a model whose price is unknown.
     """
 
     middle: float = 50.0
@@ -35,14 +37,19 @@
 
 
 class Cascade:
-    """Decides on models; has no state."""
+    """Chooses models; has no state.
+
+    Parameters
+    ----------
+    limits : CascadeLimits
+    """
 
     def __init__(self, limits: CascadeLimits | None = None) -> None:
         self.limits = limits or CascadeLimits()
 
-    def first_model(self, route: Route, ask: CallerRequest) -> str | None:
-        """Return the model to begin with, or None where the choice is not ours."""
-        if not ask.picks_model or not route.models:
+    def first_model(self, route: Route, req: CallerRequest) -> str | None:
+        """Return the model to try first, or None where the router does not choose it."""
+        if not req.picks_model or not route.models:
             return None
         if route.max_attempts < 2:
             return route.models[-1]
@@ -51,40 +58,46 @@
     def next_model(
         self,
         route: Route,
-        ask: CallerRequest,
-        stake: AnswerValue,
+        req: CallerRequest,
+        answer_value: AnswerValue,
         model: str,
         confidence: int | None,
         prices: Mapping[str, float],
         waited_s: float,
-        offer: Candidate,
+        candidate: Candidate,
     ) -> str | None:
-        """Return the model to ask instead, or None to keep the answer that has begun.
+        """Return the model to call instead, or None to keep the answer that has started.
 
         Parameters
         ----------
         route : Route
-        ask : CallerRequest
+        req : CallerRequest
+        answer_value : AnswerValue
         model : str
-            Which one declared the confidence.
+            Model that declared the confidence.
         confidence : int or None
+            Declared confidence, 0 to 100.
         prices : mapping of str to float
-            By model, for 1,000 tokens generated; a token that is read costs a quarter.
+            Price by model for 1,000 generated tokens; a prompt token costs a quarter.
         waited_s : float
-            Time since the request came.
-        stake : AnswerValue
-        offer : Candidate
-            Where the larger model would be asked, its wait and what that costs others.
+            Seconds since the request arrived.
+        candidate : Candidate
+            Endpoint for the larger model, with the expected wait and its cost to other requests.
         """
         largest = route.models[-1]
         if confidence is None or model == largest:
             return None
         limits = self.limits
-        read, made = ask.prompt_tokens / 1000, ask.output_tokens / 1000
+        prompt, output = req.prompt_tokens / 1000, req.output_tokens / 1000
         good = 1.0 / (1.0 + exp(-(confidence - limits.middle) / limits.width))
-        kept = good * stake.value * stake.value_fraction(waited_s)
-        # What the small model still has to make is paid if it is kept, the large one's if not.
-        kept -= stake.priority_weight * prices.get(model, limits.price) * made
-        other = stake.value * stake.value_fraction(waited_s + offer.wait_s) - offer.delay_cost
-        other -= stake.priority_weight * prices.get(largest, limits.price) * (read / 4 + made)
+        kept = good * answer_value.value * answer_value.value_fraction(waited_s)
+        # Keeping the answer costs the small model's remaining output, dropping it the large one's.
+        kept -= answer_value.priority_weight * prices.get(model, limits.price) * output
+        other = (
+            answer_value.value * answer_value.value_fraction(waited_s + candidate.wait_s)
+            - candidate.delay_cost
+        )
+        other -= (
+            answer_value.priority_weight * prices.get(largest, limits.price) * (prompt / 4 + output)
+        )
         return largest if other > kept else None
--- a/umberhitch/core/direct/_change.py
+++ b/umberhitch/core/direct/_change.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations: small where they are large and alike."""
+"""Differences between two configurations, which are small where these are large and similar."""
 
 from dataclasses import dataclass, replace
 
@@ -7,28 +7,31 @@
 __all__ = ["DocumentChange", "apply_change", "diff_documents"]
 
 RouteKey = tuple[str, str]
-"""Host and prefix of a route: a document has one route at each."""
+"""Host and prefix of a route, which are unique within a document."""
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentChange:
-    """What makes one document of another.
+    """The difference between two documents.
 
     Attributes
     ----------
-    base, number : int
-        Numbers of the document that it goes with, and of the one that it makes.
+    base : int
+        Number of the document that the change applies to.
+    number : int
+        Number of the document that results.
     routes : tuple of Route
-        New ones, and those that differ.
+        Routes that were added or changed.
     routes_gone : tuple of (str, str)
-        Host and prefix of routes that are no more.
+        Host and prefix of the routes that were removed.
     services : dict of str to Service, or None
-        All of them, where any differs.
+        All services, or None if none of them changed.
     customers : dict of str to Customer
-        By digest of the key: new ones, and those that differ.
+        Customers that were added or changed, by digest of their key.
     keys_gone : tuple of str
-        Digests.
+        Digests of the keys that were removed.
     intake : IntakeLimits
+        Limits of the new document.
     """
 
     base: int
@@ -46,7 +49,7 @@
 
 
 def diff_documents(old: Document, new: Document) -> DocumentChange:
-    """Return what makes ``new`` of ``old``."""
+    """Return the change that turns ``old`` into ``new``."""
     before = {_route_key(route): route for route in old.routes}
     after = {_route_key(route): route for route in new.routes}
     return DocumentChange(
@@ -62,7 +65,7 @@
 
 
 def apply_change(document: Document, change: DocumentChange) -> Document | None:
-    """Return the document that a change makes, or None if it goes with another one."""
+    """Return the document that results, or None if the change applies to another document."""
     if document.number != change.base:
         return None
     routes = {_route_key(route): route for route in document.routes}
--- a/umberhitch/core/direct/_closed.py
+++ b/umberhitch/core/direct/_closed.py
@@ -1,8 +1,8 @@
-"""Endpoints that want nothing new by their own word: those that leave, and those that rest.
+"""Endpoints that accept no new calls by their own signals: by draining or by a back-off.
 
-One that leaves wants nothing more from anybody until its lifetime ends. One that refuses with a
-time wants nothing from this router for so long. Neither word is dropped where nothing else is left:
-what no other endpoint takes is refused.
+A draining endpoint accepts no more calls from any router until its lifetime ends. An endpoint that
+refuses a call with a time accepts none from this router for that time. The signals are followed
+even if no other endpoint is available: the request is then refused.
 """
 
 from collections.abc import Iterable
@@ -14,28 +14,29 @@
 __all__ = ["ClosedEndpoints", "Draining", "EndpointBackoff"]
 
 DRAINING_KEPT_S = 600.0
-"""Kept for so long after the registry has lost an endpoint: its entry may lapse and come back."""
+"""Seconds for which the signal is kept after the endpoint was removed, since its entry may lapse
+and be written again."""
 MAX_DRAINING = 4096
-"""Endpoints that leave are remembered up to so many, the newest: some 0.5 MB."""
+"""Maximum number of draining endpoints that are remembered, the newest ones: about 0.5 MB."""
 RESUME_SPACING_S = 0.02
-"""After a rest the routers return one after the other, one in so long on the average."""
+"""Average interval in seconds at which the routers resume one after the other."""
 FIRST_CALL_TIMEOUT_S = 0.6
-"""After a rest a router's first call goes alone, until its reply begins or so much later."""
+"""Maximum time in seconds that other calls wait for the reply to the first one after a back-off."""
 HASH_RANGE = 2.0**64
 
 
 @dataclass(slots=True)
 class Draining:
-    """That an endpoint leaves.
+    """The signal of an endpoint that it is draining.
 
     Attributes
     ----------
-    heard_s : float
-        When it was first said, here or at a peer.
+    received_s : float
+        When this router or a peer first received the signal.
     source : str
-        How it is known: by its own answer, or from which peer.
-    known_s : float
-        When its endpoint was last known.
+        How the signal became known: by an answer of the endpoint, or the name of the peer.
+    last_seen_s : float
+        When the endpoint was last known to this router.
     """
 
     received_s: float
@@ -45,18 +46,18 @@
 
 @dataclass(slots=True)
 class EndpointBackoff:
-    """That an endpoint wants nothing from this router for a while.
+    """The back-off that an endpoint asked this router for.
 
     Attributes
     ----------
-    heard_s : float
-        When it was said last.
+    received_s : float
+        When the endpoint last asked for a back-off.
     until_s : float
-        The latest end that was named.
-    opens_s : float
-        When this router sends again: the routers return one after the other.
-    tried_s : float or None
-        When the first call after it was sent, which others wait for.
+        The latest end of the back-off that the endpoint named.
+    resume_s : float
+        When this router resumes sending, which is a different time for each router.
+    first_call_s : float or None
+        When the first call after the back-off was sent. Other calls wait for its reply.
     """
 
     received_s: float
@@ -67,14 +68,16 @@
 
 @dataclass(slots=True)
 class ClosedEndpoints:
-    """What endpoints have said to this router, by their lifetimes.
+    """Endpoints that accept no new calls by their own signals, by lifetime.
 
     Attributes
     ----------
     name : str
-        Of this router.
-    leaving : dict of str to Draining
-    resting : dict of str to EndpointBackoff
+        Name of this router.
+    draining : dict of str to Draining
+        Endpoints that are draining.
+    backoffs : dict of str to EndpointBackoff
+        Endpoints that asked this router for a back-off.
     """
 
     name: str
@@ -82,11 +85,11 @@
     backoffs: dict[str, EndpointBackoff] = field(default_factory=dict)
 
     def __bool__(self) -> bool:
-        """Whether any endpoint may be closed."""
+        """Whether any signal is known."""
         return bool(self.draining or self.backoffs)
 
     def apply_draining(self, lifetime: str, received_s: float, source: str, now_s: float) -> bool:
-        """Take the word that an endpoint leaves; return whether it is new."""
+        """Record that an endpoint is draining; return whether that is new."""
         if lifetime in self.draining:
             return False
         self.draining[lifetime] = Draining(received_s, source, now_s)
@@ -95,14 +98,14 @@
         return True
 
     def apply_backoff(self, lifetime: str, backoff_s: float, routers: int, now_s: float) -> bool:
-        """Take the word that an endpoint wants nothing for so long; return whether it is new.
+        """Record that an endpoint asked for a back-off; return whether a new back-off begins.
 
         Parameters
         ----------
         lifetime : str
         backoff_s : float
         routers : int
-            How many there are, of which all may have been told so at the same time.
+            Number of routers. All of them may have got the same back-off at the same time.
         now_s : float
         """
         known = self.backoffs.get(lifetime)
@@ -113,16 +116,16 @@
         if known is not None and known.until_s >= until_s:
             known.received_s = now_s
             return False
-        opens_s = until_s + self._resume_fraction(lifetime) * RESUME_SPACING_S * (routers - 1)
-        self.backoffs[lifetime] = EndpointBackoff(now_s, until_s, opens_s)
+        resume_s = until_s + self._resume_fraction(lifetime) * RESUME_SPACING_S * (routers - 1)
+        self.backoffs[lifetime] = EndpointBackoff(now_s, until_s, resume_s)
         return is_new
 
     def _resume_fraction(self, lifetime: str) -> float:
-        """Return this router's place among those that return to an endpoint, from 0 to 1."""
+        """Return this router's position, from 0 to 1, in the order of resuming an endpoint."""
         return xxh3_64_intdigest(f"{lifetime}|{self.name}".encode()) / HASH_RANGE
 
     def note_answer(self, lifetime: str, now_s: float) -> bool:
-        """Take a reply that asks for no rest; return whether that ends the return from one."""
+        """Apply a reply without a back-off; return whether that ends a back-off."""
         known = self.backoffs.get(lifetime)
         if known is None or now_s < known.resume_s:
             return False
@@ -130,7 +133,7 @@
         return True
 
     def note_sent(self, lifetime: str, now_s: float) -> None:
-        """Note that a call is sent."""
+        """Record that a call is sent."""
         known = self.backoffs.get(lifetime)
         if known is not None:
             known.first_call_s = now_s
@@ -140,7 +143,7 @@
         return self.wait_s(lifetime, now_s) == 0.0
 
     def wait_s(self, lifetime: str, now_s: float) -> float:
-        """Return the time until one more call may be sent; infinite where it leaves."""
+        """Return the seconds until one more call may be sent; infinite for a draining endpoint."""
         if lifetime in self.draining:
             return inf
         known = self.backoffs.get(lifetime)
@@ -154,15 +157,15 @@
         return max(0.0, free_s - now_s)
 
     def forget(self, known: Iterable[str], now_s: float) -> None:
-        """Keep what concerns endpoints that are known, and for a while what others said."""
+        """Remove expired signals of endpoints that aren't among the known lifetimes."""
         if not self:
             return
         keep = set(known)
-        for lifetime, word in list(self.draining.items()):
+        for lifetime, signal in list(self.draining.items()):
             if lifetime in keep:
-                word.last_seen_s = now_s
-            elif now_s > word.last_seen_s + DRAINING_KEPT_S:
+                signal.last_seen_s = now_s
+            elif now_s > signal.last_seen_s + DRAINING_KEPT_S:
                 del self.draining[lifetime]
-        for lifetime, rest in list(self.backoffs.items()):
-            if lifetime not in keep and now_s >= rest.until_s:
+        for lifetime, backoff in list(self.backoffs.items()):
+            if lifetime not in keep and now_s >= backoff.until_s:
                 del self.backoffs[lifetime]
--- a/umberhitch/core/direct/_crash_record.py
+++ b/umberhitch/core/direct/_crash_record.py
@@ -1,14 +1,15 @@
-"""Requests under which endpoints ended, and when one of them may be run again.
-
-Whose run ended an endpoint cannot be seen, since others were under way there. What tells them apart
-is what came of their other runs: one that ends its endpoints never comes to an end itself. So a
-crash counts against each request that was under way, until a run of it ends with its endpoint
-alive; and a run that had begun before such an end counts for nothing, which keeps what many callers
-ask for out of it when a zone is lost.
-
-From the third crash on a request is held, as by a circuit breaker: it is run again by one probe at
-a time, and by ever fewer of them. Crashes and ends add up to the same in whatever order and however
-often they are told, so that routers that heard the same hold the same.
+"""Requests that were running on endpoints that crashed, and when one of them may be resent.
+
+Which request crashed an endpoint can't be observed, since several were running there. The outcome
+of their other runs shows it: a request that crashes its endpoints never completes. So a crash
+counts against each request that was running, until a run of that request completes with its
+endpoint alive. Crashes under runs that had started before this completion don't count either, so
+that requests which many callers send aren't held when a zone is lost.
+
+From the third crash on a request is held, as by a circuit breaker: it is resent only as one probe
+at a time, at increasing intervals. Crashes and completions are merged with the same result in any
+order and with any repetition, so that routers that received the same notices hold the same
+requests.
 """
 
 from collections import OrderedDict
@@ -18,38 +19,44 @@
 __all__ = ["Crash", "CrashLimits", "CrashRecord", "Hold"]
 
 CUSTOMER_DIGITS = 16
-"""The first digits of a request's key are its customer's."""
+"""Number of leading digits of a request's key that identify its customer."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrashLimits:
-    """Times in seconds.
+    """Limits of a crash record. Times are in seconds.
 
     Attributes
     ----------
     crashes : int
-        From so many endpoints on a request is held. One or two end under many a request that has
-        no part in it, where a rack is lost and what ran there is tried on the next.
+        Crashed endpoints from which on a request is held. One or two crash under many requests that
+        don't cause it, where a rack is lost and its requests are retried on the next rack.
     probe_gaps_s : tuple of float
-        Time from the last crash or probe to the first probe, and so on. The first is soon, since
-        a request that only happened to be there is served by it and free again; the second after
-        the endpoints of a lost rack are back.
+        Time from the last crash or probe to the first probe, to the second one and so on. The first
+        probe is soon, since it serves and releases a request that only happened to be running on
+        the endpoint. The second one follows after the endpoints of a lost rack are back.
     hold_s : float
-        The same after these; doubled each time. An endpoint is away for some 5 s after a crash, so
-        that one probe in 600 s costs under 1 % of one endpoint.
-    longest_hold_s : float
-    outlived : float
-    outlived_s : float
-        A run that goes on so many times as long after its first answer as the longest one under
-        which an endpoint ended, and for so long at least, is not going to end its own. Of what many
-        ask for some runs have, when a rack is lost: so it is held for no time.
+        Time to the next probe after these, doubled for each further one. An endpoint is away for
+        about 5 s after a crash, so that one probe in 600 s costs under 1 % of one endpoint.
+    max_hold_s : float
+        Maximum time to the next probe.
+    survival_factor : float
+        A run is assumed not to crash its endpoint once it has lasted after its first answer for
+        this many times the duration of the longest run under which an endpoint crashed. When a
+        rack is lost, some runs of a request that many callers send have lasted so long, so that
+        it isn't held at all.
+    min_survival_s : float
+        Minimum of that time.
     forget_s : float
-        A request that is not held and under which no endpoint ended for so long is forgotten.
-    kept_requests, kept_of_customer : int
-        Requests that are remembered, in all and of one customer. Each takes under 1 kB.
-    kept_ends : int
-        Requests of which it is remembered when a run ended last; under 0.2 kB each. A router that
-        gets 54 requests a second remembers those of the last minute.
+        Time without a crash after which a request that isn't held is forgotten.
+    max_requests : int
+        Maximum number of requests that are remembered. Each takes under 1 kB.
+    max_requests_per_customer : int
+        Maximum number of them for one customer.
+    max_run_ends : int
+        Maximum number of requests of which the time of the last completed run is remembered. Each
+        takes under 0.2 kB. A router that receives 54 requests per second remembers those of the
+        last minute.
     """
 
     crashes: int = 3
@@ -66,16 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of an endpoint while a request was under way there.
+    """A crash of an endpoint while a request was running there.
 
     Attributes
     ----------
     lifetime : str
-        Of the endpoint.
-    place : str
-        Service and version that it ran.
-    began_s, ended_s : float
-        When the request was sent there, and when the endpoint ended.
+        Lifetime of the endpoint.
+    service_version : str
+        Service and version that the endpoint ran.
+    started_s : float
+        When the request was sent to the endpoint.
+    crashed_s : float
+        When the endpoint crashed.
     """
 
     lifetime: str
@@ -86,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Why a request is held, and until when no probe of it is let through."""
+    """Why a request is held, and until when no probe of it is admitted."""
 
     crashes: int
     probes: int
@@ -98,18 +107,18 @@
     crashes: dict[str, Crash] = field(default_factory=dict)
     probes: int = 0
     last_probe_s: float = float("-inf")
-    """When the last probe was let through."""
+    """When the last probe was admitted."""
     probe_deadline_s: float = float("-inf")
-    """While it is under way, when it must have ended."""
+    """When the probe that is running ends at the latest, or minus infinity if none is running."""
     probed_versions: set[str] = field(default_factory=set)
-    """Places where probes were let through."""
+    """Services and versions that probes were admitted to."""
 
     def last_crash_s(self) -> float:
         return max((each.crashed_s for each in self.crashes.values()), default=self.last_probe_s)
 
 
 class CrashRecord:
-    """What one router knows of crashes, its own and what the others told.
+    """The crashes known to one router, both observed by it and reported by its peers.
 
     Parameters
     ----------
@@ -125,10 +134,10 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    # What happened
+    # Recording of events
 
     def note_crash(self, key: str, crash: Crash) -> bool:
-        """Count the end of an endpoint against a request; return whether that is new."""
+        """Count a crash against a request; return whether the crash is new."""
         if self.is_refuted(key, crash):
             return False
         suspect = self._suspects.get(key)
@@ -141,12 +150,18 @@
         return True
 
     def is_refuted(self, key: str, crash: Crash) -> bool:
-        """Whether a run of the request has ended since this one began, its endpoint alive."""
-        ended_s = self._run_ends.get(key)
-        return ended_s is not None and crash.started_s <= ended_s
+        """Whether a run of the request has completed after the start of the crashed run."""
+        completed_s = self._run_ends.get(key)
+        return completed_s is not None and crash.started_s <= completed_s
 
     def note_run_end(self, key: str, at_s: float) -> bool:
-        """Take note that a run ended with its endpoint alive; return whether that frees it."""
+        """Record a run that completed with its endpoint alive.
+
+        Returns
+        -------
+        bool
+            Whether the completion clears any crash that counted against the request.
+        """
         at_s = max(at_s, self._run_ends.pop(key, at_s))
         self._run_ends[key] = at_s
         if len(self._run_ends) > self.limits.max_run_ends:
@@ -154,28 +169,28 @@
         suspect = self._suspects.get(key)
         if suspect is None:
             return False
-        kept = {name: each for name, each in suspect.crashes.items() if each.started_s > at_s}
-        is_freed = len(kept) < len(suspect.crashes)
-        suspect.crashes = kept
-        if not kept:
+        later = {name: each for name, each in suspect.crashes.items() if each.started_s > at_s}
+        is_cleared = len(later) < len(suspect.crashes)
+        suspect.crashes = later
+        if not later:
             self._drop(key)
-        return is_freed
+        return is_cleared
 
     def survival_s(self, key: str) -> float:
-        """Return how long a run of a request must go on after its first answer to free it."""
+        """Return the seconds that a run must last after its first answer to clear the request."""
         longest_s = max(
             (each.crashed_s - each.started_s for each in self.crashes(key)), default=0.0
         )
         return max(self.limits.min_survival_s, self.limits.survival_factor * longest_s)
 
     def last_run_end_s(self, key: str) -> float | None:
-        """Return when a run of the request ended last with its endpoint alive, if that is known."""
+        """Return when a run of the request last completed, or None if that isn't known."""
         return self._run_ends.get(key)
 
     def note_probe(
         self, key: str, service_version: str, probes: int, at_s: float, until_s: float
     ) -> bool:
-        """Take note that a probe was let through, the ``probes``-th; return whether it is new."""
+        """Record that the ``probes``-th probe was admitted; return whether that is new."""
         suspect = self._suspects.get(key)
         if suspect is None or probes <= suspect.probes:
             return False
@@ -186,44 +201,45 @@
         return True
 
     def note_probe_end(self, key: str) -> bool:
-        """Take note that the last probe has ended and shows nothing."""
+        """Record that the last probe ended without a result; return whether one was running."""
         suspect = self._suspects.get(key)
         if suspect is None or suspect.probe_deadline_s == float("-inf"):
             return False
         suspect.probe_deadline_s = float("-inf")
         return True
 
-    # What follows
+    # Holds
 
     def is_suspect(self, key: str) -> bool:
-        """Whether an endpoint has ended under a request, and nothing speaks for it."""
+        """Whether any crash counts against a request."""
         return key in self._suspects
 
     def is_held(self, key: str) -> bool:
-        """Whether a request is run by probes only."""
+        """Whether a request may run only as a probe."""
         suspect = self._suspects.get(key)
         return suspect is not None and len(suspect.crashes) >= self.limits.crashes
 
     def hold(self, key: str, now_s: float, service_version: str = "") -> Hold | None:
-        """Return why a request is held, or None.
+        """Return the hold of a request, or None if it isn't held.
 
         Parameters
         ----------
         key : str
         now_s : float
         service_version : str
-            Service and version that would run it. One under which no endpoint has ended yet may be
-            mended, or get it by a changed configuration: the next probe of it is soon.
+            Service and version that would run the request. The next probe of a version that hasn't
+            crashed yet is soon, since the fault may be fixed in that version or avoided by a
+            changed configuration.
         """
         suspect = self._suspects.get(key)
         if suspect is None or len(suspect.crashes) < self.limits.crashes:
             return None
         gaps_s = self.limits.probe_gaps_s
-        known = {each.service_version for each in suspect.crashes.values()}
+        crashed = {each.service_version for each in suspect.crashes.values()}
         step = suspect.probes
         if step < len(gaps_s):
             gap_s = gaps_s[step]
-        elif service_version and service_version not in known | suspect.probed_versions:
+        elif service_version and service_version not in crashed | suspect.probed_versions:
             gap_s = gaps_s[0]
         else:
             doubled = self.limits.hold_s * 2.0 ** min(step - len(gaps_s), 16)
@@ -232,43 +248,46 @@
         until_s = max(last_s + gap_s, suspect.probe_deadline_s)
         return Hold(len(suspect.crashes), suspect.probes, until_s)
 
-    # Telling
+    # Queries
 
     def crashes(self, key: str) -> list[Crash]:
-        """Return what is held against a request."""
+        """Return the crashes that count against a request."""
         suspect = self._suspects.get(key)
         return [] if suspect is None else list(suspect.crashes.values())
 
     def last_probe(self, key: str) -> tuple[str, int, float] | None:
-        """Return a place, the number of probes and the time of the last one, if there was any."""
+        """Return a probed version, the number of probes and the time of the last, if any."""
         suspect = self._suspects.get(key)
         if suspect is None or not suspect.probes:
             return None
         return max(suspect.probed_versions), suspect.probes, suspect.last_probe_s
 
     def suspects(self) -> list[str]:
-        """Return the requests against which something is held, the oldest first."""
+        """Return the requests that any crash counts against, the oldest first."""
         return list(self._suspects)
 
     def held(self, now_s: float) -> Iterable[tuple[str, Hold]]:
-        """Return the requests that are held."""
+        """Return the requests that are held, with their holds."""
         for key in self.suspects():
             hold = self.hold(key, now_s)
             if hold is not None:
                 yield key, hold
 
     def forget(self, now_s: float) -> None:
-        """Forget what is long past."""
+        """Forget requests whose last crash and hold are older than ``forget_s``."""
         for key, suspect in list(self._suspects.items()):
             hold = self.hold(key, now_s)
-            old_s = suspect.last_crash_s() + self.limits.forget_s
-            if now_s > old_s and (hold is None or now_s > hold.until_s + self.limits.forget_s):
+            expires_s = suspect.last_crash_s() + self.limits.forget_s
+            if now_s > expires_s and (hold is None or now_s > hold.until_s + self.limits.forget_s):
                 self._drop(key)
 
-    # Bounds
+    # Size limits
 
     def _add(self, key: str) -> _Suspect:
-        """Make room in the customer's own share first, so that no other one pays for it."""
+        """Add a request, evicting one of the same customer first where the customer has too many.
+
+        So a customer with many requests doesn't evict those of others.
+        """
         customer = key[:CUSTOMER_DIGITS]
         own = self._by_customer.setdefault(customer, {})
         if len(own) >= self.limits.max_requests_per_customer:
--- a/umberhitch/core/direct/_directory.py
+++ b/umberhitch/core/direct/_directory.py
@@ -1,17 +1,19 @@
-"""Which endpoints there are, and which of them take new work.
-
-Nothing new goes to the endpoints of an availability zone that is out of service: they stand in no
-list that is given out, and are no home, whatever kind of call it is for. What runs there goes on.
-
-An endpoint may start again under its incarnation: then its entry names another time of birth, and a
-new lifetime begins. What is believed of one process dies with its lifetime: that it is banned or
-failing, the load that it or peers told, what its engine has cached and reads, its pace, calls under
-way on it, its idle connections. What does not: the bucket homes, since parts that return to the
-same endpoint are read again once there, and elsewhere not at all; what is known of a version, of
-a model's pace, the budgets and the sessions, since none of them speaks of one process.
-
-Which of two lifetimes is the newer one is told by the order in which the registry confirmed their
-entries, never by comparing the times.
+"""The endpoints known to a router, and which of them accept new requests.
+
+No new call of any kind goes to an endpoint in an availability zone that is out of service: such
+endpoints are left out of the lists of candidates, and no shared part of a prompt has its affinity
+there. Calls that are running there continue.
+
+An endpoint may restart under its incarnation. Its entry then names another start time, and a new
+lifetime begins. State that describes one process is discarded with its lifetime: bans and failures,
+the load reported by the endpoint or by peers, what its engine has cached and is reading, its
+inter-token latency, the calls in flight on it and its idle connections. Other state is kept. The
+affinity of the buckets stays, since the shared parts are then read once more on the same endpoint
+and on no other one. What is known of a version, the inter-token latency of a model, the budgets and
+the sessions also stay, since they don't describe a single process.
+
+The newer one of two lifetimes is the one whose entry the registry confirmed later. Start times are
+never compared.
 """
 
 from collections import OrderedDict, deque
@@ -27,35 +29,36 @@
 __all__ = ["Directory"]
 
 LAPSED_KEPT_S = 1.9
-"""How long an entry that lapsed while the registry was away is kept: such entries are back about
-2 s after it (the platform's word), and an endpoint that left may get no call 2 s after that."""
+"""Seconds for which an entry that lapsed during an outage of the registry is kept. The platform
+states that such entries are written again about 2 s after the outage, and that an endpoint that has
+exited may get no call 2 s after its exit."""
 MAX_KEPT_AFTER_READ_S = 1.85
-"""So long after it surely was still there an entry is kept at most that went after that."""
+"""Maximum time in seconds that a vanished entry is kept after the last read that contained it."""
 MAX_UNSAMPLED = 48
-"""Up to so many endpoints of a service, all are looked at; of more, a sample."""
+"""Maximum number of endpoints of a service that are all considered; of more, a sample is."""
 SAMPLE_SIZE = 32
-"""Drawn for one decision: the least loaded of so many is close to the least loaded of all
-(Mitzenmacher, 2001)."""
+"""Endpoints sampled for one decision. The least loaded one of the sample is close to the least
+loaded one of all (Mitzenmacher, 2001)."""
 AFFINITY_BUCKETS = 1024
-"""Shared parts fall into so many buckets, each with a home."""
+"""Number of buckets that the shared parts of prompts are hashed to, each with its affinity."""
 STALE_ENTRY_S = 1.5
-"""An entry of a lifetime that was replaced is a late one, unless it stands for so long: a process
-that lives writes its entry each 1.2 s."""
+"""An entry of a replaced lifetime is taken for a delayed write until it has stood for this many
+seconds. A running process writes its entry every 1.2 s."""
 MAX_REPLACED_INCARNATIONS = 2000
-"""Incarnations of which replaced lifetimes are remembered: the restarts of a day."""
+"""Incarnations whose replaced lifetimes are remembered: as many as restart within a day."""
 MAX_REPLACED_LIFETIMES = 4
-"""Replaced lifetimes that are remembered of each; late entries come within seconds."""
+"""Replaced lifetimes remembered per incarnation; delayed entries arrive within seconds."""
 
 
 class Directory:
-    """The registry's entries as they reached this router.
+    """The entries of the registry as received by this router.
 
     Parameters
     ----------
     leaving : container of str
-        Lifetimes that are known to leave, whatever their entries say.
+        Lifetimes that are known to be draining, whatever state their entries name.
     router : str
-        Whose directory it is.
+        Name of this router.
     """
 
     def __init__(self, draining: Container[str] = (), router: str = "") -> None:
@@ -64,26 +67,26 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._lifetimes: dict[str, Endpoint] = {}
         self._replaced: OrderedDict[str, deque[int | None]] = OrderedDict()
-        """Lifetimes by incarnation that came to their end when another one began."""
+        """Start times of the replaced lifetimes, by incarnation."""
         self._stale_entries: dict[str, tuple[EndpointEntry, float]] = {}
-        """Entries of replaced lifetimes, and since when they stand."""
+        """Entries of replaced lifetimes, and when they were received first, by incarnation."""
         self._by_service: dict[str, Members] = {}
         self.is_loaded = False
         self.zones_out: dict[str, float] = {}
-        """Availability zones that are out of service, and since when that is known here."""
+        """Availability zones out of service, and when this router learned of it."""
         self._cold_start_s: dict[str, float] = {}
-        """By service, where its endpoints are cold after a start."""
+        """Seconds for which an endpoint is cold after its start, by service."""
 
     def __len__(self) -> int:
         return len(self._endpoints)
 
     def put(self, entry: EndpointEntry, now_s: float) -> Endpoint | None:
-        """Take an entry that is new, or newer than the one known.
+        """Apply an entry that is new, or newer than the one known.
 
         Returns
         -------
         Endpoint or None
-            The lifetime that has come to its end by it.
+            The lifetime that the entry replaces, if any.
         """
         if self._is_stale(entry):
             _, since_s = self._stale_entries.get(entry.incarnation, (entry, now_s))
@@ -93,7 +96,7 @@
         return self._apply_entry(entry, now_s)
 
     def _is_stale(self, entry: EndpointEntry) -> bool:
-        """Whether an entry is of a lifetime that another one has replaced."""
+        """Whether an entry belongs to a lifetime that was replaced by another one."""
         known = self._endpoints.get(entry.incarnation)
         if known is not None and known.entry.born == entry.born:
             return False
@@ -128,7 +131,11 @@
         return ended
 
     def _update_cold(self, endpoint: Endpoint, now_s: float) -> None:
-        """Take an endpoint's word that it is cold: it may be late, and then this is too long."""
+        """Apply the remaining cold time that an entry names.
+
+        It counts from when the entry is received, so a delayed entry keeps an endpoint cold for
+        too long.
+        """
         if endpoint.entry.cold_s is not None:
             endpoint.cold_until_s = now_s + endpoint.entry.cold_s
             if endpoint.entry.cold_s and now_s >= endpoint.presumed_cold_until_s:
@@ -138,11 +145,11 @@
         endpoint.presume_cold(now_s + self._cold_start_s.get(endpoint.entry.service, 0.0), source)
 
     def set_cold_starts(self, cold_start_s: dict[str, float]) -> None:
-        """Take how long the endpoints of services are cold after a start."""
+        """Set the seconds for which endpoints are cold after a start, by service."""
         self._cold_start_s = cold_start_s
 
     def disable_zone(self, zone: str, now_s: float) -> bool:
-        """Take an availability zone out of service; return whether it was in service."""
+        """Mark an availability zone as out of service; return whether it was in service."""
         if zone in self.zones_out:
             return False
         self.zones_out[zone] = now_s
@@ -150,9 +157,10 @@
         return True
 
     def enable_zone(self, zone: str, now_s: float) -> bool:
-        """Take a zone back into service; return whether it was out.
+        """Mark an availability zone as in service; return whether it was out of service.
 
-        Its endpoints are taken for cold: they may have become so while nothing was sent there.
+        Its endpoints are assumed to be cold, since they may have become cold while no request was
+        sent to them.
         """
         if zone not in self.zones_out:
             return False
@@ -163,7 +171,7 @@
         return True
 
     def mark_draining(self, lifetime: str) -> None:
-        """Take that an endpoint leaves, though its entry does not say so yet."""
+        """Mark an endpoint as draining though its entry doesn't say so yet."""
         known = self._lifetimes.get(lifetime)
         if known is not None:
             known.reports_draining = True
@@ -174,7 +182,7 @@
             members.invalidate()
 
     def cold_endpoints(self, now_s: float) -> list[Endpoint]:
-        """Return the endpoints that are cold, or taken for it."""
+        """Return the endpoints that are cold or assumed to be."""
         return [each for each in self._endpoints.values() if each.is_cold(now_s)]
 
     def _note_replaced(self, entry: EndpointEntry) -> None:
@@ -185,7 +193,7 @@
             self._replaced.popitem(last=False)
 
     def drop(self, incarnation: str) -> None:
-        """Forget an endpoint whose entry is gone."""
+        """Remove an endpoint whose entry is gone."""
         self._stale_entries.pop(incarnation, None)
         known = self._endpoints.pop(incarnation, None)
         if known is not None:
@@ -198,14 +206,17 @@
             members.remove(known)
 
     def lapse(self, incarnation: str, now_s: float, last_read_s: float | None) -> None:
-        """Keep an endpoint a little whose entry may have gone because the registry was away.
+        """Schedule the removal of an endpoint whose entry is gone.
+
+        The endpoint is kept for a short time, since the entry may be gone because of an outage of
+        the registry.
 
         Parameters
         ----------
         incarnation : str
         now_s : float
         last_read_s : float or None
-            When the registry was read last, and the entry was there.
+            When the registry was last read with the entry in it.
         """
         self._stale_entries.pop(incarnation, None)
         known = self._endpoints.get(incarnation)
@@ -213,16 +224,16 @@
             return
         known.expires_s = now_s + LAPSED_KEPT_S
         if last_read_s is not None and now_s < last_read_s + MAX_KEPT_AFTER_READ_S:
-            # It went since then, while the registry was read: so it may as well have left.
+            # The registry was reachable when the entry vanished: the endpoint may have exited.
             known.expires_s = last_read_s + MAX_KEPT_AFTER_READ_S
 
     def sweep(self, now_s: float) -> list[Endpoint]:
-        """Drop endpoints whose entries have not come back, and take entries that stand after all.
+        """Remove lapsed endpoints, and apply entries that turned out not to be stale.
 
         Returns
         -------
         list of Endpoint
-            The lifetimes that have come to their end.
+            The lifetimes that have ended.
         """
         ended = []
         for incarnation, known in list(self._endpoints.items()):
@@ -237,11 +248,11 @@
         return ended
 
     def get(self, incarnation: str) -> Endpoint | None:
-        """Return the endpoint that an incarnation names now."""
+        """Return the current endpoint of an incarnation."""
         return self._endpoints.get(incarnation)
 
     def of_lifetime(self, lifetime: str) -> Endpoint | None:
-        """Return an endpoint if it is still in that lifetime."""
+        """Return the endpoint of a lifetime, or None if the lifetime has ended."""
         return self._lifetimes.get(lifetime)
 
     def incarnations(self) -> Iterable[str]:
@@ -253,7 +264,7 @@
         return list(self._lifetimes)
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service, those that take no work included."""
+        """Return all endpoints of a service, also those that accept no new requests."""
         members = self._by_service.get(service)
         return [] if members is None else list(members.by_incarnation.values())
 
@@ -262,7 +273,10 @@
         return [each for each in self._endpoints.values() if each.entry.zone == zone]
 
     def listed(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that are not leaving, those that fail included."""
+        """Return the endpoints of a service that aren't draining, also those that fail.
+
+        Endpoints in zones that are out of service are left out.
+        """
         members = self._by_service.get(service)
         return [] if members is None else members.in_service()
 
@@ -273,18 +287,19 @@
         rng: Random | None = None,
         is_open: Callable[[Endpoint], bool] | None = None,
     ) -> list[Endpoint]:
-        """Return endpoints of a service that take new work.
+        """Return endpoints of a service that accept new requests.
 
-        Where all that might take it are banned, the bans are not kept: trying beats refusing.
+        Where all of them are banned, the bans are ignored, since an attempt is better than a
+        refusal.
 
         Parameters
         ----------
         service : str
         now_s : float
         rng : Random, optional
-            With it, the endpoints of a large service are a sample.
+            Generator by which the endpoints of a large service are sampled.
         is_open : callable, optional
-            Whether an endpoint may be sent to at all, by its own word: that holds always.
+            Whether an endpoint accepts calls by its own signals. This is never ignored.
         """
         known = self.listed(service)
         if is_open is not None:
@@ -295,9 +310,10 @@
         return ready or [each for each in known if each.expires_s is None]
 
     def affinity_endpoint(self, service: str, part: str) -> Endpoint | None:
-        """Return the endpoint that is the home of a shared part (rendezvous hash, by buckets).
+        """Return the affinity endpoint of a shared part, by a rendezvous hash of its bucket.
 
-        It is the same at every router that knows the same endpoints, and moves only with its own.
+        It is the same at every router that knows the same endpoints. It changes only when this
+        endpoint leaves the service's candidates or one with a higher score joins them.
         """
         members = self._by_service.get(service)
         if members is None:
@@ -305,6 +321,6 @@
         return members.affinity_endpoint(xxh3_64_intdigest(part.encode()) % AFFINITY_BUCKETS)
 
     def note_answer(self, endpoint: Endpoint, now_s: float) -> None:
-        """Note that an endpoint answered."""
+        """Record that an endpoint answered."""
         if endpoint.note_answer():
             self._assume_cold(endpoint, now_s, "its process had ended")
--- a/umberhitch/core/direct/_endpoint.py
+++ b/umberhitch/core/direct/_endpoint.py
@@ -8,32 +8,34 @@
 
 BASE_EJECTION_S = 0.5
 MAX_EJECTION_S = 3.0
-"""An endpoint that cannot be reached is left alone so long, doubled at each failure in a row. Then
-one call at a time tries it, until one is answered."""
+"""An endpoint that cannot be reached is ejected for `BASE_EJECTION_S`, doubled at each failure in a
+row up to this limit. Then one call at a time is sent to it, until one is answered."""
 RECOVERY_CALL_S = 0.6
-"""Time after which a call that tries an endpoint again has told how it is."""
+"""Seconds after which a call to an endpoint that failed before has shown whether it recovered."""
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One lifetime of an endpoint, with what this router has seen of it."""
+    """One lifetime of an endpoint, with what this router has observed of it."""
 
     entry: EndpointEntry
     expires_s: float | None = None
     ejected_until_s: float = 0.0
     failures: int = 0
     has_exited: bool = False
-    """Whether its process was seen to have ended; one that answers again has started again."""
+    """Whether its process was seen to have exited; an answer after that means that it has
+    restarted."""
     reports_draining: bool = False
-    """Whether it has said so itself, whatever its entry says."""
+    """Whether the endpoint itself has reported that it is draining, whatever its entry says."""
     cold_until_s: float = 0.0
-    """It is cold until then, by its own word, or"""
+    """Time until which the endpoint is cold, as reported by itself."""
     presumed_cold_until_s: float = 0.0
-    """taken for cold, since it may have started again and not have said so yet."""
+    """Time until which the endpoint is presumed cold, since it may have restarted without having
+    reported this yet."""
     cold_source: str = ""
-    """How that is known."""
+    """Source from which the router knows that the endpoint is cold."""
     lifetime: str = ""
-    """Names it among all lifetimes, at every router."""
+    """Identifier of this lifetime, unique over all lifetimes and the same at every router."""
 
     def __post_init__(self) -> None:
         born = self.entry.born
@@ -41,22 +43,22 @@
         self.lifetime = name if born is None else f"{name}@{born}"
 
     def is_cold(self, now_s: float) -> bool:
-        """Whether it bears only so many requests a second."""
+        """Whether the rate of requests to the endpoint is limited after its start."""
         return now_s < self.cold_until_s or now_s < self.presumed_cold_until_s
 
     def presume_cold(self, until_s: float, source: str) -> None:
-        """Take it for cold until then."""
+        """Presume that the endpoint is cold until a time."""
         if until_s > self.presumed_cold_until_s:
             self.presumed_cold_until_s = until_s
             self.cold_source = source
 
     @property
     def is_draining(self) -> bool:
-        """Whether it takes no new work any more, by its entry or its own word."""
+        """Whether the endpoint accepts no new work, by its entry or its own report."""
         return self.reports_draining or self.entry.state is EndpointState.DRAINING
 
     def accepts_work(self, now_s: float) -> bool:
-        """Whether new work may be sent to it, as far as it is for itself."""
+        """Whether the endpoint's own state allows new work to be sent to it."""
         return (
             not self.is_draining
             and now_s >= self.ejected_until_s
@@ -64,20 +66,20 @@
         )
 
     def note_call_sent(self, now_s: float) -> None:
-        """Note that a call goes to it; after a failure the others wait for how that ends."""
+        """Record a call; after a failure, further calls wait for the result of this one."""
         if self.failures:
             self.ejected_until_s = max(self.ejected_until_s, now_s + RECOVERY_CALL_S)
 
     def note_failure(self, now_s: float, has_exited: bool = False) -> None:
-        """Note that it could not be reached or broke off, perhaps since it has ended."""
+        """Record that the endpoint was unreachable or broke off, perhaps since it has exited."""
         self.has_exited |= has_exited
-        ban_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.failures)
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.failures)
         self.failures += 1
-        self.ejected_until_s = now_s + ban_s
+        self.ejected_until_s = now_s + ejection_s
 
     def note_answer(self) -> bool:
-        """Note that it answered; return whether its process had ended before."""
-        had_ended, self.has_exited = self.has_exited, False
+        """Record an answer; return whether the endpoint's process had exited before."""
+        had_exited, self.has_exited = self.has_exited, False
         self.failures = 0
         self.ejected_until_s = 0.0
-        return had_ended
+        return had_exited
--- a/umberhitch/core/direct/_evidence.py
+++ b/umberhitch/core/direct/_evidence.py
@@ -1,4 +1,4 @@
-"""What answers say of a version, and how much of it turns the version back."""
+"""Statistics of the answers of a version, and the thresholds at which it is rolled back."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,22 +9,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EvidenceThreshold:
-    """When answers of one kind turn a version back.
+    """Threshold at which answers of one kind roll a version back.
 
     Attributes
     ----------
-    least : int
-        So many of them at least.
+    min_count : int
+        Fewer answers of that kind never roll a version back.
     rate : float
-        A rate over this is too much, if it is
+        Highest acceptable rate, unless the old version's own rate times `ratio` is higher.
     ratio : float
-        so many times that of the old version.
-    usual_rate : float
-        What the old version's rate is taken for at most, where it has shown none.
+        Highest acceptable rate as a multiple of the old version's rate.
+    max_assumed_rate : float
+        Upper bound of the rate that is assumed of an old version which has shown a lower one.
     deviations : float
-        Standard deviations by which they must exceed what the old version's rate leads to expect (a
-        Poisson law): so that a small rate is found too, given answers. On one endpoint alone twice
-        as many, since it may be the endpoint's own.
+        Standard deviations by which the number must exceed the one expected from the old version's
+        rate (a Poisson distribution), so that a small rate is detected too, given enough answers.
+        Where all come from one endpoint, the bound is doubled, since the endpoint itself may be at
+        fault.
     """
 
     min_count: int = 3
@@ -33,30 +34,42 @@
     max_assumed_rate: float = 0.005
     deviations: float = 3.0
 
-    def is_exceeded(self, new: int, new_of: int, old: int, old_of: int, endpoints: int) -> bool:
-        """Whether ``new`` of ``new_of`` answers are too many beside ``old`` of ``old_of``."""
+    def is_exceeded(
+        self, new: int, new_total: int, old: int, old_total: int, endpoints: int
+    ) -> bool:
+        """Whether ``new`` of ``new_total`` answers are too many given the old version's.
+
+        Parameters
+        ----------
+        new, new_total : int
+            Answers of this kind and all answers of the new version.
+        old, old_total : int
+            The same of the old version.
+        endpoints : int
+            Endpoints of the new version that gave such answers.
+        """
         if new < self.min_count:
             return False
-        old_rate = old / old_of if old_of else 0.0
-        if new / new_of > max(self.rate, self.ratio * old_rate):
+        old_rate = old / old_total if old_total else 0.0
+        if new / new_total > max(self.rate, self.ratio * old_rate):
             return True
-        # With few answers of the old version its rate may be higher than it has shown.
-        likely = max(old_rate, min(self.max_assumed_rate, (old + 1) / (old_of + 1)))
-        expected = new_of * likely
-        bar = self.min_count + expected + self.deviations * sqrt(expected)
-        return new > bar and (endpoints > 1 or new > 2 * bar)
+        # With few answers of the old version its true rate may be higher than the observed one.
+        likely = max(old_rate, min(self.max_assumed_rate, (old + 1) / (old_total + 1)))
+        expected = new_total * likely
+        threshold = self.min_count + expected + self.deviations * sqrt(expected)
+        return new > threshold and (endpoints > 1 or new > 2 * threshold)
 
 
 class AnswerVerdict(StrEnum):
-    """How an answer speaks for the version that made it."""
+    """What an answer shows about the version that gave it."""
 
     GOOD = "good"
     UNPACED = "unpaced"
-    """Good, but too short to tell its pace."""
+    """Good, but too short to measure its inter-token latency."""
     FAILED = "failed"
-    """By the endpoint's own word."""
+    """The endpoint itself reported a failure."""
     BROKEN = "broken"
-    """Its connection ended, or was silent, before its end."""
+    """The connection closed, or timed out, before the end of the answer."""
     SLOW = "slow"
 
 
@@ -66,11 +79,16 @@
 
     Attributes
     ----------
-    answers, failed, broken : int
-    paced, slow : int
-        Answers of which the pace is known, and of these the slow ones.
+    answers : int
+        All answers.
+    failed, broken : int
+        Answers with that verdict.
+    paced : int
+        Answers whose latency is known.
+    slow : int
+        Slow answers among these.
     endpoints : set of str
-        On which failed, broken or slow answers came.
+        Endpoints that gave failed, broken or slow answers.
     """
 
     answers: int = 0
@@ -99,7 +117,7 @@
         self.endpoints.add(endpoint)
 
     def add(self, other: "AnswerCounts") -> None:
-        """Add another's answers."""
+        """Add the answers that another object has counted."""
         self.answers += other.answers
         self.failed += other.failed
         self.broken += other.broken
--- a/umberhitch/core/direct/_fleet_share.py
+++ b/umberhitch/core/direct/_fleet_share.py
@@ -1,9 +1,10 @@
-"""How many requests the routers send, all together, to an endpoint that bears only so many.
+"""Quotas of the routers for endpoints that are limited to a rate over all routers together.
 
-Such a bound holds whoever sends: for a cold endpoint, which ends where more come, and for one in
-need, which names a rate. So only a few routers send there at all, by rendezvous hash over the
-routers that the store lists, and each of them so many that those of two lists, of which one is old,
-stay within the bound together. Design notes 16 and 18 weigh the ways.
+Such a bound applies to a cold endpoint, which crashes under a higher rate, and to an overloaded
+endpoint that advertises a rate. Only a few routers send to such an endpoint. They are chosen by a
+rendezvous hash over the routers that the store lists. Their quotas are such that the senders by the
+current list and those by an outdated one stay within the bound together. Design notes 16 and 18
+compare the alternatives.
 """
 
 from collections import deque
@@ -16,62 +17,64 @@
 __all__ = ["ColdLimits", "FleetBound", "FleetShare"]
 
 MIN_SENDERS = 4
-"""Routers that send to one such endpoint, at least where there are so many. A loss of one of them
-takes a quarter of what it gets, and each may send several in a span, so that few of its share are
-lost to chance."""
+"""Minimum number of routers that send to one such endpoint, if there are as many. The loss of one
+costs the endpoint a quarter of its requests. Each sender may send several requests in a span, so
+that little of its quota stays unused by chance."""
 MAX_SEND_TIMES = 256
 SEND_TIMES_KEPT_S = 10.0
-"""Of the requests to one endpoint so many times are kept, and more only if they are no older."""
+"""Send times kept per endpoint. Beyond this number, only those of the last seconds are kept."""
 UNREGISTERED_SHARE = 0.6
-"""Share of its share that a router without a seat uses: the others may go by a list without it."""
+"""Fraction of the total quota that a router uses while its registration in the store isn't
+confirmed, since the other routers may use a list without it."""
 MAX_UPDATE_GAP_S = 2.5
-"""A router that has not looked at its seat for longer stood still: what it holds may be over."""
+"""Maximum time in seconds between two checks of the registration. After a longer gap the router was
+stalled, and its registration may have expired."""
 ROUTER_LIST_KEPT_S = 60.0
-"""A router without a seat goes by its last list for so long: outages of the store are mostly
-shorter."""
+"""Seconds for which a router without a confirmed registration uses its last list. Most outages of
+the store are shorter."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdLimits:
-    """What bounds the requests that reach a cold endpoint within any second.
+    """Bound on the requests that reach a cold endpoint within any second.
 
     Attributes
     ----------
     overrun : float
-        So many times the rate that it bears,
+        Factor by which the requests may exceed the rate that the endpoint bears.
     slack : float
-        and so many requests more.
+        Number of requests allowed in addition.
     """
 
     overrun: float = 1.5
     slack: float = 5.0
 
     def bound(self, rate: float) -> "FleetBound":
-        """Return the bound of an endpoint that bears a rate."""
+        """Return the bound of an endpoint that bears the given requests per second."""
         return FleetBound(rate, 1.0, self.overrun, self.slack)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetBound:
-    """What one endpoint may get from all routers together.
+    """Bound on the requests to one endpoint from all routers together.
 
     Attributes
     ----------
     rate : float
-        Requests a second that it bears.
+        Requests per second that the endpoint bears.
     span_s : float
-        In each span of so long
+        Length in seconds of the sliding span that the bound applies to.
     overrun : float
-        it gets no more than so many times that,
+        Factor by which the requests in a span may exceed the rate.
     slack : float
-        and so many requests more.
-    views : float
-        The bound allows for so many lists of routers to be in force at once.
-    sender_rate : float
-        Requests a second that one router is relied on to have for the endpoint: for more there are
-        more routers.
+        Number of requests allowed in a span in addition.
+    concurrent_lists : float
+        Number of different router lists that may be in use at once within the bound.
+    rate_per_sender : float
+        Requests per second that one router is expected to have for the endpoint. A higher rate is
+        divided among more routers.
     is_paced : bool
-        Whether a router spreads what it sends over the span.
+        Whether a router spreads its requests over the span.
     """
 
     rate: float
@@ -84,39 +87,39 @@
 
     @property
     def max_requests(self) -> float:
-        """Return how many requests it may get in a span."""
+        """Return the maximum number of requests to the endpoint in a span."""
         return self.rate * self.span_s * self.overrun + self.slack
 
 
 @dataclass(slots=True)
 class FleetShare:
-    """One router's share of what all routers may send to endpoints with a bound.
+    """One router's quotas for the endpoints that have a bound.
 
     Attributes
     ----------
     name : str
-        Of this router.
+        Name of this router.
     """
 
     name: str
     is_registered: bool = False
-    """Whether this router has its seat, and the others have heard of it."""
+    """Whether this router is registered in the store, and the others have seen its registration."""
     _latest_routers: tuple[str, ...] = ()
     _routers: tuple[str, ...] = ()
-    """The list that shares go by: the newest that this router had its place on."""
+    """The list that quotas are computed from: the newest one while this router was registered."""
     _registered_s: float = -inf
     _updated_s: float = -inf
     _ranks: dict[str, int] = field(default_factory=dict)
     _send_times: dict[str, deque[float]] = field(default_factory=dict)
 
-    # Who sends
+    # Choice of the senders
 
     def set_routers(self, names: Iterable[str]) -> None:
-        """Take the routers that the store lists, this one among them."""
+        """Set the routers that the store lists, including this one."""
         self._latest_routers = tuple(sorted(names))
 
     def update_registration(self, is_registered: bool, now_s: float) -> None:
-        """Take whether this router's place on the list is sure; to be called each second or so."""
+        """Update whether this router's registration is confirmed; call this about every second."""
         if now_s > self._updated_s + MAX_UPDATE_GAP_S:
             self._registered_s = -inf
         self._updated_s = now_s
@@ -129,7 +132,7 @@
             self._ranks.clear()
 
     def has_router_list(self, now_s: float) -> bool:
-        """Whether this router has a list to go by, perhaps that of before it lost its seat."""
+        """Whether this router has a valid list, perhaps from before it lost its registration."""
         is_awake = now_s <= self._updated_s + MAX_UPDATE_GAP_S
         return is_awake and now_s <= self._registered_s + ROUTER_LIST_KEPT_S
 
@@ -139,48 +142,48 @@
         return max(1, len(self._routers))
 
     def total_quota(self, bound: FleetBound) -> int:
-        """Return how many requests all senders of one list may send within `window_s`."""
+        """Return the number of requests that all senders of one list may send in `window_s`."""
         return max(
             1,
             min(ceil(bound.rate * bound.span_s), int(bound.max_requests / bound.concurrent_lists)),
         )
 
     def window_s(self, bound: FleetBound) -> float:
-        """Return the time in which that many are sent: longer than a span at a low rate."""
+        """Return the seconds that the total quota applies to: at a low rate more than a span."""
         return max(bound.span_s, self.total_quota(bound) / bound.rate)
 
     def sender_count(self, bound: FleetBound) -> int:
-        """Return how many routers may send to one endpoint."""
+        """Return the number of routers that may send to one endpoint."""
         total = self.total_quota(bound)
         wanted = max(MIN_SENDERS, ceil(total / self.window_s(bound) / bound.rate_per_sender))
         return max(1, min(wanted, len(self._routers), total))
 
     def quota(self, lifetime: str, bound: FleetBound) -> int:
-        """Return how many requests this router may send within `window_s`; 0 if it is no sender."""
+        """Return how many requests this router may send in `window_s`; 0 if it isn't a sender."""
         if bound.rate <= 0.0 or not self._routers:
             return 0
-        senders, rank = self.sender_count(bound), self._rank(lifetime)
-        if rank >= senders:
+        sender_count, rank = self.sender_count(bound), self._rank(lifetime)
+        if rank >= sender_count:
             return 0
         total = self.total_quota(bound)
         if not self.is_registered:
             total = max(1, int(UNREGISTERED_SHARE * total))
-        share, rest = divmod(total, senders)
-        return share + (rank < rest)
+        share, remainder = divmod(total, sender_count)
+        return share + (rank < remainder)
 
     def _rank(self, lifetime: str) -> int:
-        """Return this router's place among those that may send to an endpoint, 0 first."""
-        known = self._ranks.get(lifetime)
-        if known is None:
+        """Return this router's rank in the rendezvous hash of an endpoint, from 0."""
+        rank = self._ranks.get(lifetime)
+        if rank is None:
             own = _score(lifetime, self.name)
-            known = sum(_score(lifetime, each) > own for each in self._routers)
-            self._ranks[lifetime] = known
-        return known
+            rank = sum(_score(lifetime, each) > own for each in self._routers)
+            self._ranks[lifetime] = rank
+        return rank
 
-    # What is sent
+    # Use of the quota
 
     def wait_s(self, lifetime: str, bound: FleetBound, now_s: float, reserved: int = 0) -> float:
-        """Return the time until this router may send; infinite where it is none of the senders.
+        """Return the seconds until this router may send; infinite where it isn't a sender.
 
         Parameters
         ----------
@@ -188,47 +191,48 @@
         bound : FleetBound
         now_s : float
         reserved : int
-            So much of the share is left for others.
+            Number of requests of the quota that are reserved for other work.
         """
-        most = self.quota(lifetime, bound) - reserved
-        if most <= 0:
+        quota = self.quota(lifetime, bound) - reserved
+        if quota <= 0:
             return inf
         sent = self._send_times.get(lifetime)
         if not sent:
             return 0.0
         window_s = self.window_s(bound)
-        free_s = sent[-most] + window_s if len(sent) >= most else -inf
+        free_s = sent[-quota] + window_s if len(sent) >= quota else -inf
         if bound.is_paced:
-            # Half of an even gap: a burst is spread, and one that comes late is made up for.
-            free_s = max(free_s, sent[-1] + window_s / most / 2)
+            # Half of an even gap spreads a burst, and lets a sender catch up after a delay.
+            free_s = max(free_s, sent[-1] + window_s / quota / 2)
         return max(0.0, free_s - now_s)
 
     def note_sent(self, lifetime: str, now_s: float) -> None:
-        """Count a request that was sent to an endpoint that has a bound, or may have one."""
+        """Count a request that was sent to an endpoint that has or may get a bound."""
         sent = self._send_times.setdefault(lifetime, deque())
         sent.append(now_s)
         while len(sent) > MAX_SEND_TIMES and sent[0] < now_s - SEND_TIMES_KEPT_S:
             sent.popleft()
 
     def assume_used(self, lifetime: str, bound: FleetBound, now_s: float) -> None:
-        """Take the share for used evenly until now, where nothing was counted.
+        """Count the quota as used evenly until now, if no request was counted.
 
-        What was sent before the bound was known is not known, and is still under way.
+        Requests that were sent before the bound was known weren't counted, and may still be in
+        flight.
         """
-        most = self.quota(lifetime, bound)
-        if not most or self._send_times.get(lifetime):
+        quota = self.quota(lifetime, bound)
+        if not quota or self._send_times.get(lifetime):
             return
-        gap_s = self.window_s(bound) / most
-        for number in range(most):
-            self.note_sent(lifetime, now_s - gap_s * (most - 1 - number))
+        gap_s = self.window_s(bound) / quota
+        for number in range(quota):
+            self.note_sent(lifetime, now_s - gap_s * (quota - 1 - number))
 
     def used(self, lifetime: str, bound: FleetBound, now_s: float) -> int:
-        """Return how much of the share was used within the last `window_s`."""
+        """Return the number of requests sent within the last `window_s`."""
         since_s = now_s - self.window_s(bound)
         return sum(at_s > since_s for at_s in self._send_times.get(lifetime, ()))
 
     def forget(self, known: Iterable[str]) -> None:
-        """Keep only what concerns lifetimes of endpoints that are still known."""
+        """Remove the state of lifetimes that aren't among the known ones."""
         keep = set(known)
         for counted in (self._send_times, self._ranks):
             for lifetime in [each for each in counted if each not in keep]:
--- a/umberhitch/core/direct/_header_values.py
+++ b/umberhitch/core/direct/_header_values.py
@@ -1,4 +1,4 @@
-"""Values that others put into headers: any bytes may come."""
+"""Parsing of header values from callers and endpoints, which may be any bytes."""
 
 import re
 from collections.abc import Callable
@@ -24,21 +24,21 @@
     rb"|[A-Z][a-z]{5,8}, \d{2}-[A-Z][a-z]{2}-\d{2} \d{2}:\d{2}:\d{2} GMT"
     rb"|[A-Z][a-z]{2} [A-Z][a-z]{2} [ \d]\d \d{2}:\d{2}:\d{2} \d{4})"
 )
-"""The three forms of RFC 9110, 5.6.7."""
+"""The three date formats of RFC 9110, section 5.6.7."""
 MAX_BACKOFF_S = 86_400.0
-"""A day: endpoints are replaced more often than that."""
+"""One day: endpoints are replaced more often than that."""
 
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """For how long an endpoint wants nothing.
+    """The back-off that an endpoint asks for.
 
     Attributes
     ----------
     seconds : float or None
-        None where no time was named.
-    is_unclear : bool
-        Whether something was named that is none.
+        Duration, or None if the values contain no valid time.
+    is_malformed : bool
+        Whether the values contain something, but no valid time.
     """
 
     seconds: float | None = None
@@ -46,38 +46,41 @@
 
 
 def parse_backoff(values: list[bytes], date: bytes, time_of_day: Callable[[], float]) -> Backoff:
-    """Return the time that values name, as seconds or as dates; of several the longest counts.
+    """Return the back-off in a header's values, which are seconds or dates.
+
+    The longest of several times is used.
 
     Parameters
     ----------
     values : list of bytes
-        Each perhaps several with commas between.
+        Header values, each of which may be a comma-separated list.
     date : bytes
-        When the reply was written by its sender's own clock, if it says so; dates count from then.
+        Date header of the reply, by its sender's clock; may be empty. The dates in the values are
+        relative to this one.
     time_of_day : callable
-        Returns the time of day, from which dates count else.
+        Returns the current Unix time, which the dates are relative to if ``date`` isn't valid.
     """
     if not values:
         return Backoff()
-    found, words = [], []
+    times_s, words = [], []
     written_s = _date_s(date)
     for value in values:
         for each in HTTP_DATE.findall(value):
             until_s = _date_s(each)
             if until_s is not None:
-                found.append(until_s - (time_of_day() if written_s is None else written_s))
+                times_s.append(until_s - (time_of_day() if written_s is None else written_s))
         words += [word.strip(b" \t") for word in HTTP_DATE.sub(b"", value).split(b",")]
-    found += [float(word) for word in words if DECIMAL.fullmatch(word)]
-    if not found:
+    times_s += [float(word) for word in words if DECIMAL.fullmatch(word)]
+    if not times_s:
         return Backoff(None, is_malformed=True)
-    return Backoff(min(MAX_BACKOFF_S, max(0.0, *found)))
+    return Backoff(min(MAX_BACKOFF_S, max(0.0, *times_s)))
 
 
 def _date_s(value: bytes) -> float | None:
-    """Return the time of day that a date names, or None where it is none."""
+    """Return the Unix time of an HTTP date, or None if the date isn't valid."""
     if not HTTP_DATE.fullmatch(value.strip(b" \t")):
         return None
-    # Loaded when it is needed: a router's start is short of time, and dates are rare.
+    # Imported only when needed, to keep the start of a router short: dates are rare.
     from email.utils import parsedate_to_datetime
 
     try:
@@ -88,25 +91,27 @@
 
 
 def parse_flag(values: list[bytes]) -> tuple[bool, bool]:
-    """Return whether values raise a flag (``1``), and whether any of them is neither 1 nor 0."""
+    """Return whether any value sets a flag (``1``), and whether any is neither ``1`` nor ``0``."""
     words = [word.strip(b" \t") for value in values for word in value.split(b",")]
     return b"1" in words, any(word not in (b"0", b"1") for word in words)
 
 
 def parse_ints(value: bytes | None) -> list[int]:
-    """Return the whole numbers of a list; what is none is left out."""
+    """Return the integers in a comma-separated list; other items are skipped."""
     parts = [part.strip() for part in (value or b"").split(b",")]
     return [int(part) for part in parts if part.isdigit()]
 
 
 def parse_load(value: bytes | None) -> ReportedLoad | None:
-    """Return a load, given as running, waiting and slots."""
+    """Return the load in a list of running requests, waiting requests and slots, if valid."""
     numbers = parse_ints(value)
     return ReportedLoad(*numbers) if len(numbers) == 3 else None
 
 
 def parse_prompt(value: bytes | None, tokens: int) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt, given as ``ID:TOKENS``; the last one is the request's own.
+    """Return the parts of a prompt from a list of ``ID:TOKENS``.
+
+    The last part is the request's own.
 
     Raises
     ------
--- a/umberhitch/core/direct/_members.py
+++ b/umberhitch/core/direct/_members.py
@@ -1,4 +1,4 @@
-"""The endpoints of one service, with what is worked out from them when it is asked for."""
+"""The endpoints of one service, with cached candidates and affinities."""
 
 from dataclasses import dataclass, field
 
@@ -11,18 +11,33 @@
 
 @dataclass(slots=True)
 class Members:
-    """The endpoints of one service, with what is worked out from them when it is asked for."""
+    """The endpoints of one service, with cached candidates and affinities.
+
+    Attributes
+    ----------
+    router : str
+        Name of this router.
+    zones_out : dict of str to float
+        Availability zones out of service, shared with the directory.
+    by_incarnation : dict of str to Endpoint
+        All endpoints of the service.
+    cached_in_service : list of Endpoint or None
+        Result of `in_service`, or None if it must be computed.
+    affinity_endpoints : dict of int to (int, Endpoint)
+        Score and affinity endpoint of each bucket that was looked up.
+    """
 
     router: str
     zones_out: dict[str, float]
-    """Of the directory."""
     by_incarnation: dict[str, Endpoint] = field(default_factory=dict)
     cached_in_service: list[Endpoint] | None = None
     affinity_endpoints: dict[int, tuple[int, Endpoint]] = field(default_factory=dict)
-    """By bucket: the home's score, and the home."""
 
     def put(self, endpoint: Endpoint) -> None:
-        """Take an endpoint, or a change of its entry; only homes that it wins or loses move."""
+        """Add an endpoint or apply a change of its entry.
+
+        Only the affinities that the endpoint gains or loses change.
+        """
         self.by_incarnation[endpoint.entry.incarnation] = endpoint
         self.cached_in_service = None
         self._drop_affinity(endpoint)
@@ -33,18 +48,18 @@
                     self.affinity_endpoints[bucket] = (own, endpoint)
 
     def remove(self, endpoint: Endpoint) -> None:
-        """Forget an endpoint."""
+        """Remove an endpoint."""
         if self.by_incarnation.pop(endpoint.entry.incarnation, None) is not None:
             self.cached_in_service = None
             self._drop_affinity(endpoint)
 
     def _drop_affinity(self, endpoint: Endpoint) -> None:
-        lost = [bucket for bucket, (_, home) in self.affinity_endpoints.items() if home is endpoint]
+        lost = [bucket for bucket, (_, kept) in self.affinity_endpoints.items() if kept is endpoint]
         for bucket in lost:
             del self.affinity_endpoints[bucket]
 
     def affinity_endpoint(self, bucket: int) -> Endpoint | None:
-        """Return the home of a bucket, worked out when it is first asked for."""
+        """Return the affinity endpoint of a bucket, computed on the first lookup."""
         found = self.affinity_endpoints.get(bucket)
         if found is None:
             scored = [(_score(bucket, each), index) for index, each in enumerate(self.in_service())]
@@ -55,9 +70,9 @@
         return found[1]
 
     def in_service(self) -> list[Endpoint]:
-        """Return the endpoints that do not leave, of zones that are in service.
+        """Return the endpoints that aren't draining, in zones that are in service.
 
-        Each router has an order of its own: the first of equals is not the same at all of them.
+        Each router has its own order, so that the routers don't all choose the same one of equals.
         """
         if self.cached_in_service is None:
             found = [each for each in self.by_incarnation.values() if self._is_in_service(each)]
@@ -71,7 +86,7 @@
         return not endpoint.is_draining and endpoint.entry.zone not in self.zones_out
 
     def invalidate(self) -> None:
-        """Work out anew what depends on the zones that are in service."""
+        """Discard the cached results after a change of the zones in service."""
         self.cached_in_service = None
         self.affinity_endpoints.clear()
 
--- a/umberhitch/core/direct/_prefill_speed.py
+++ b/umberhitch/core/direct/_prefill_speed.py
@@ -1,4 +1,4 @@
-"""How fast models read prompts, told from how long replies took to begin."""
+"""Prefill speed of models, estimated from the times to first event."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,14 +6,14 @@
 __all__ = ["PrefillSpeed"]
 
 MAX_SAMPLES = 31
-"""Samples of a model's pace that are kept: some seconds' worth."""
+"""Samples that are kept per model; they cover some seconds."""
 FIRST_EVENT_OVERHEAD_S = 0.02
-"""Time of the way there and back and of the first step, which is in every sample; seconds."""
+"""Round trip and first decoding step, which every sample contains; seconds."""
 MIN_TOKENS = 300
-"""Shorter readings say nothing: the first event's own time is many times theirs."""
+"""Shorter prefills are ignored: the overhead of the first event is many times their own time."""
 MIN_TOKEN_S = 0.000001
 PRIOR_TOKENS = 2000.0
-"""Weight of what is assumed, against tokens that were read."""
+"""Weight of the assumed speed, in tokens of a sample."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,12 +23,12 @@
 
 
 class PrefillSpeed:
-    """Seconds a token by model: the weighted median of late samples.
+    """Prefill time per token by model: the weighted median of recent samples.
 
-    A sample errs high where a queue was longer than known and low where another router had had the
-    prompt read, both by many times; so means do not do, and long readings without a queue count
-    most. A mean gave up to four times the smallest model's pace, as the first event's own time was
-    in it.
+    A sample is too high where the queue was longer than known, and too low where another router had
+    already filled the prefix cache, both by large factors. A mean is therefore unsuitable: it gave
+    up to four times the smallest model's time per token, as the overhead of the first event was in
+    it. Long prefills without a queue have the largest weight.
     """
 
     def __init__(self) -> None:
@@ -36,24 +36,25 @@
         self._known: dict[str, float] = {}
 
     def token_s(self, model: str) -> float | None:
-        """Return a model's pace, or None where nothing is known of it."""
+        """Return a model's prefill time in seconds per token, or None without samples."""
         return self._known.get(model)
 
     def add_sample(
         self, model: str, tokens: int, taken_s: float, queue_s: float, assumed_s: float
     ) -> None:
-        """Take how long a reply took to begin.
+        """Add the time to first event of a reply.
 
         Parameters
         ----------
         model : str
         tokens : int
-            Read for it, as far as known.
+            Tokens that were prefilled, as far as known.
         taken_s : float
+            Seconds from sending the call to the start of the reply.
         queue_s : float
-            Expected time before the reading began.
+            Expected seconds before the prefill started.
         assumed_s : float
-            Pace that was assumed before any sample, seconds a token.
+            Prefill time that was assumed before any sample, in seconds per token.
         """
         if tokens < MIN_TOKENS:
             return
--- a/umberhitch/core/direct/_rates.py
+++ b/umberhitch/core/direct/_rates.py
@@ -1,4 +1,4 @@
-"""Rates that others name in words: any bytes may come."""
+"""Parsing of rates in header values, which may be any bytes."""
 
 import re
 from dataclasses import dataclass
@@ -7,19 +7,19 @@
 
 DECIMAL = re.compile(rb"[0-9]{1,40}(?:\.[0-9]{0,40})?|\.[0-9]{1,40}")
 MAX_RATE = 1e6
-"""A second; a higher rate is as good as this: nobody gets so many requests."""
+"""Requests per second. Higher rates are reduced to this one, which no router reaches."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """What was named.
+    """A parsed rate.
 
     Attributes
     ----------
-    a_second : float or None
-        None where no rate was named.
-    is_unclear : bool
-        Whether something was named that is none.
+    per_second : float or None
+        Requests per second, or None if the values contain no valid rate.
+    is_malformed : bool
+        Whether the values contain something, but no valid rate.
     """
 
     per_second: float | None = None
@@ -27,9 +27,10 @@
 
 
 def parse_rate(values: list[bytes]) -> Rate:
-    """Return the rate that values name, each of them perhaps several with commas between.
+    """Return the rate in a header's values, each of which may be a comma-separated list.
 
-    Of several rates the lowest counts: an endpoint in need is not sent more than it may have meant.
+    The lowest of several rates is used, so that an overloaded endpoint isn't sent more requests
+    than it may have meant.
     """
     words = [word.strip(b" \t") for value in values for word in value.split(b",")]
     rates = [min(MAX_RATE, float(word)) for word in words if DECIMAL.fullmatch(word)]
--- a/umberhitch/core/direct/_request_key.py
+++ b/umberhitch/core/direct/_request_key.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, whoever took them and whatever id their callers gave them."""
+"""Keys by which equal requests are recognized, at any router and under any caller's id."""
 
 from xxhash import xxh3_64_hexdigest, xxh3_64_intdigest
 
@@ -10,16 +10,16 @@
 
 
 def request_key(ask: CallerRequest, customer: Customer | None) -> str:
-    """Return what names a request when it comes again: its customer, path and body.
+    """Return the key of a request, a hash of its customer, path and body.
 
-    The first half is the customer's alone. So no customer can make a request that has the key of
-    another's, and the keys of one customer can be counted. The second half is no secret and no
-    proof: who makes two of their own requests alike has both taken for one. A megabyte takes some
-    0.1 ms.
+    The first half depends on the customer only. So no customer can produce the key of another
+    one's request, and the keys of one customer can be counted. The second half is neither secret
+    nor collision-resistant: a customer who makes two of their own requests collide has them taken
+    for one request. Hashing a megabyte takes about 0.1 ms.
     """
     name = "" if customer is None else customer.name
     target = b" ".join((ask.method, ask.host.lower().encode(), ask.path.encode()))
     if not ask.body:
-        target = b" ".join((target, ask.target))  # without a body the query says what is asked
+        target = b" ".join((target, ask.target))  # without a body, the query tells requests apart
     own = xxh3_64_intdigest(ask.body, seed=xxh3_64_intdigest(target))
     return f"{xxh3_64_hexdigest(name.encode())}{own:0{HEX_DIGITS}x}"
--- a/umberhitch/core/direct/_retry_budget.py
+++ b/umberhitch/core/direct/_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many calls beyond the first of each request the routers may make together."""
+"""Retry budget that all routers share."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,20 +6,22 @@
 __all__ = ["RetryBudget", "RetryBudgetLimits"]
 
 USED_SHARE = 0.85
-"""Share of the budget that is used: each router counts on its own, and may be unlucky."""
+"""Share of the budget that is used. Each router counts only its own requests, so the retries of all
+routers together may exceed the sum of the requests by chance."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetLimits:
-    """A budget over a sliding window, shared by all routers.
+    """Limits of the retry budget over a sliding window, shared by all routers.
 
     Attributes
     ----------
     ratio : float
-        Calls beyond the first that are allowed for each request.
+        Retries that are allowed per request.
     slack : float
-        Calls beyond the first that are allowed besides, over all routers.
+        Retries that are allowed in addition, over all routers.
     window_s : float
+        Length of the window in seconds.
     """
 
     ratio: float = 0.5
@@ -28,36 +30,41 @@
 
 
 class RetryBudget:
-    """One router's part of the budget, by service."""
+    """One router's part of the retry budget, by service.
+
+    Parameters
+    ----------
+    limits : RetryBudgetLimits
+    """
 
     def __init__(self, limits: RetryBudgetLimits) -> None:
         self.limits = limits
         self.router_count: int | None = None
-        """Routers that share the slack; while it is not known how many, this one has none of it."""
+        """Routers that share the slack; this router gets none of it while the number is unknown."""
         self._requests: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
+        self._retries: dict[str, deque[float]] = {}
 
     def record_request(self, service: str, now_s: float) -> None:
         """Count a caller's request."""
         self._requests.setdefault(service, deque()).append(now_s)
 
     def acquire(self, service: str, now_s: float) -> bool:
-        """Take one call beyond the first, if there is one."""
+        """Use one retry of the budget; return False if none remains."""
         if self.remaining(service, now_s) < 1.0:
             return False
-        self._repeats.setdefault(service, deque()).append(now_s)
+        self._retries.setdefault(service, deque()).append(now_s)
         return True
 
     def remaining(self, service: str, now_s: float) -> float:
-        """Return how many calls beyond the first may be made now."""
-        requests = self._within(self._requests, service, now_s)
-        repeats = self._within(self._repeats, service, now_s)
+        """Return the number of retries that may be sent now."""
+        requests = self._count_recent(self._requests, service, now_s)
+        retries = self._count_recent(self._retries, service, now_s)
         limits = self.limits
         slack = limits.slack / self.router_count if self.router_count else 0.0
         allowed = limits.ratio * requests + slack
-        return USED_SHARE * allowed - repeats
+        return USED_SHARE * allowed - retries
 
-    def _within(self, times: dict[str, deque[float]], service: str, now_s: float) -> int:
+    def _count_recent(self, times: dict[str, deque[float]], service: str, now_s: float) -> int:
         queue = times.get(service)
         if queue is None:
             return 0
--- a/umberhitch/core/direct/_routes.py
+++ b/umberhitch/core/direct/_routes.py
@@ -1,4 +1,4 @@
-"""Looks up routes and customers in the configuration that is in force."""
+"""Lookup of routes and customers in the active configuration."""
 
 from umberhitch.core.direct._keys import key_digest
 from umberhitch.core.direct._types import Customer, Document, Route
@@ -7,7 +7,7 @@
 
 
 class RouteTable:
-    """An index over one document.
+    """An index over one configuration document.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
             self._hosts.setdefault(route.host.lower(), {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, or None.
+        """Return the route with the longest matching prefix of the path, or None.
 
         Prefixes begin and end with a slash, so only the path's own slashes are tried: the cost does
         not grow with the number of routes.
@@ -38,5 +38,5 @@
         return None
 
     def find_customer(self, key: str | None) -> Customer | None:
-        """Return who holds the key, or None."""
+        """Return the customer who holds the API key, or None."""
         return None if key is None else self.document.customers.get(key_digest(key))
--- a/umberhitch/core/direct/_signals.py
+++ b/umberhitch/core/direct/_signals.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in the heads of their replies."""
+"""Signals that endpoints send about themselves in the headers of their replies."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class SignalKind(StrEnum):
-    """What an endpoint may say of itself that binds routers."""
+    """Signals of endpoints that routers must follow."""
 
     DRAINING = "leaving"
     BACKOFF = "rest"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """Load as the endpoint itself reported it."""
+    """Load of an endpoint as reported by itself."""
 
     running: int
     waiting: int
@@ -28,21 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadSignals:
-    """What the head of one reply says of its endpoint.
+    """Signals in the headers of one reply.
 
     Attributes
     ----------
     is_draining : bool
-        It leaves: it takes what it is sent for a little longer, and then ends.
+        Whether the endpoint is draining: it accepts requests for a short time and then exits.
     backoff_s : float or None
-        It refuses, and wants nothing more from this router for so long.
+        Seconds for which the endpoint, which refused the request, wants none from this router.
     limit : Rate
-        The requests that it takes from all routers together, if it names that.
+        Requests per second that the endpoint accepts from all routers together, if it names them.
     load : ReportedLoad or None
-    unclear : tuple of str
-        Names of headers that say something of these and cannot be understood.
+        Load of the endpoint, if reported.
+    malformed : tuple of str
+        Names of the headers of these signals whose values are malformed.
     unknown : tuple of (bytes, bytes)
-        Names and values of headers that the product does not know.
+        Names and values of headers that the product doesn't know.
     """
 
     is_draining: bool = False
--- a/umberhitch/core/direct/_token_latency.py
+++ b/umberhitch/core/direct/_token_latency.py
@@ -1,4 +1,4 @@
-"""How fast answers usually come, so that slow ones can be told."""
+"""Inter-token latency of streams, and detection of slow ones."""
 
 from dataclasses import dataclass
 from math import exp, log
@@ -8,27 +8,32 @@
 
 FULL_SAMPLE_GAPS = 8
 MIN_GAPS = 2
-"""Gaps between events by which the pace of a stream is judged; fewer where it has no more."""
+"""Gaps between events from which the latency of a finished stream is computed. A stream that
+goes on needs `FULL_SAMPLE_GAPS`."""
 MIN_LATENCY_S = 0.0001
-"""Shorter gaps come of events that were read together."""
+"""Shorter gaps arise from events that were received together."""
 
 
 class InterTokenLatency:
-    """Measures the pace of one stream: the median gap between its events.
+    """Measures the inter-token latency of one stream: the median gap between its events.
 
-    The mean would not do: an engine reads the prompts of others between the events, and one long
-    prompt makes a few gaps many times longer, whereas a slow version makes all of them longer.
+    The mean is unsuitable: an engine prefills the prompts of other requests between the events, and
+    one long prompt makes a few gaps many times longer, whereas a slow version makes all of them
+    longer.
     """
 
     def __init__(self) -> None:
         self._count = 0
         self._at_s: float | None = None
         self.first_event_s = 0.0
-        """When the first of the events came."""
+        """Time at which the first event was received."""
         self._gaps: list[float] = []
 
     def record_events(self, count: int, now_s: float) -> None:
-        """Note that ``count`` events have come by now; those that came together share the gap."""
+        """Record that ``count`` events have been received in all.
+
+        Events that are received together share the gap before them.
+        """
         new = count - self._count
         if new <= 0:
             return
@@ -39,26 +44,27 @@
         self._count, self._at_s = count, now_s
 
     def inter_token_s(self, is_end: bool) -> float | None:
-        """Return the pace in seconds an event, or None where it cannot be told (yet)."""
-        least = MIN_GAPS if is_end else FULL_SAMPLE_GAPS
-        return median(self._gaps) if len(self._gaps) >= least else None
+        """Return the median seconds between events, or None with too few gaps (so far)."""
+        needed = MIN_GAPS if is_end else FULL_SAMPLE_GAPS
+        return median(self._gaps) if len(self._gaps) >= needed else None
 
 
 @dataclass(frozen=True, slots=True)
 class TokenLatencyLimits:
-    """When a pace is slow.
+    """When a latency counts as slow.
 
     Attributes
     ----------
     factor : float
-        So many times the usual, and
+        Multiple of the usual latency that must be exceeded.
     loaded_factor : float
-        so many where an endpoint has just got the whole load, with no prompt in its cache: there
-        good answers were up to 3 times slower than usual, those of a slow version 4 to 12 times;
-    least_s : float
-        and so many seconds over it.
+        The same for an endpoint that has just received the full load with an empty prefix cache.
+        There, good answers were up to 3 times slower than usual, those of a slow version 4 to 12
+        times.
+    min_excess_s : float
+        Seconds by which the usual latency must be exceeded as well.
     weight : float
-        Of the newest pace in the running mean.
+        Weight of the newest latency in the running mean.
     """
 
     factor: float = 2.0
@@ -68,10 +74,14 @@
 
 
 class TokenLatencies:
-    """The usual pace of what is paced: the events of a model, the replies of a route.
+    """The usual latencies of the events of each model and of the replies of each route.
+
+    The usual latency is a running geometric mean: latencies spread over a factor of ten, and a few
+    very slow ones would raise an arithmetic mean so far that no slow version is detected.
 
-    It is the geometric mean of late ones: paces spread over a factor of ten, and a few very slow
-    ones would carry a plain mean up to where no slow version is told.
+    Parameters
+    ----------
+    limits : TokenLatencyLimits
     """
 
     def __init__(self, limits: TokenLatencyLimits | None = None) -> None:
@@ -79,18 +89,32 @@
         self._usual_log: dict[tuple[str, str], float] = {}
 
     def is_slow(
-        self, service: str, what: str, pace_s: float, is_loaded: bool = False
+        self, service: str, series: str, latency_s: float, is_loaded: bool = False
     ) -> bool | None:
-        """Whether a pace is slow, or None where no usual one is known."""
-        usual_log = self._usual_log.get((service, what))
+        """Whether a latency is slow, or None where no usual one is known.
+
+        Parameters
+        ----------
+        service : str
+        series : str
+            Route, or model and rank of the largest concurrent prefill, whose latencies are
+            compared.
+        latency_s : float
+            Latency in seconds.
+        is_loaded : bool
+            Whether the endpoint has just received the full load.
+        """
+        usual_log = self._usual_log.get((service, series))
         if usual_log is None:
             return None
         usual_s, limits = exp(usual_log), self._limits
         factor = limits.loaded_factor if is_loaded else limits.factor
-        return pace_s > factor * usual_s and pace_s > usual_s + limits.min_excess_s
-
-    def learn(self, service: str, what: str, pace_s: float) -> None:
-        """Take a pace into the running mean."""
-        pace_log = log(max(pace_s, MIN_LATENCY_S))
-        usual_log = self._usual_log.setdefault((service, what), pace_log)
-        self._usual_log[(service, what)] = usual_log + self._limits.weight * (pace_log - usual_log)
+        return latency_s > factor * usual_s and latency_s > usual_s + limits.min_excess_s
+
+    def learn(self, service: str, series: str, latency_s: float) -> None:
+        """Add a latency to the running mean."""
+        latency_log = log(max(latency_s, MIN_LATENCY_S))
+        usual_log = self._usual_log.setdefault((service, series), latency_log)
+        self._usual_log[(service, series)] = usual_log + self._limits.weight * (
+            latency_log - usual_log
+        )
--- a/umberhitch/core/direct/_types.py
+++ b/umberhitch/core/direct/_types.py
@@ -1,4 +1,4 @@
-"""What the direct path decides on: routes, customers, endpoints, calls and their replies."""
+"""Data types of the direct path: routes, customers, endpoints, requests and replies."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -26,7 +26,7 @@
 
 
 class RouteKind(StrEnum):
-    """What a route's requests are, and so what may be repeated."""
+    """Kind of a route's requests, which determines whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -35,24 +35,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one host and path prefix go.
+    """Services for the requests of one host and path prefix.
 
     Attributes
     ----------
     timeout_s : float
-        Longest time that a request is kept waiting.
+        Timeout of a request in seconds.
     objective_s : float
-        Time within which a response (of a stream: its first event) is worth most.
+        Seconds within which a response (of a stream: its first event) has its full value.
     priority : int
         0 is the most urgent.
     services : tuple of (str, float)
-        Services with the weight of each.
+        Services and their weights.
     max_attempts : int
-        Endpoints that one request may be sent to.
+        Maximum number of endpoints that one request may be sent to.
     is_resumable : bool
-        Whether a stream may go on at another endpoint after the last whole event.
+        Whether a stream may be resumed at another endpoint after the last complete event.
     gap_s : float
-        Longest pause between the events of a stream that is still on time.
+        Longest gap in seconds between the events of a stream that counts as on time.
     models : tuple of str
         Models to choose from, smallest first; empty where the caller names the model.
     """
@@ -86,16 +86,16 @@
     Attributes
     ----------
     slots : int
-        Requests that one endpoint runs at once; 0 if not known.
+        Requests that one endpoint runs concurrently; 0 if unknown.
     cache_tokens : int
-        Tokens that one engine's memory holds; 0 for plain services.
+        Tokens that fit into one engine's memory; 0 for plain services.
     prices : dict of str to float
-        Of its models, for 1,000 tokens generated.
+        Price of each of its models for 1,000 generated tokens.
     cold_start_s : float
-        So long after a start one of its endpoints is cold: it ends where many requests come. 0
-        where its endpoints are never cold.
+        Seconds after its start during which an endpoint is cold: its process exits when it receives
+        many requests. 0 where the endpoints are never cold.
     cold_rate : float
-        Requests a second that a cold endpoint bears.
+        Requests per second that a cold endpoint sustains.
     """
 
     name: str
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Who pays for a request; the digests of the keys stand in the document."""
+    """The customer who is billed for a request; the document has the digests of the API keys."""
 
     name: str
     priority: int | None = None
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntakeLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and the duration of a caller's request."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -127,18 +127,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """One numbered configuration, whole; a higher number replaces it."""
+    """One numbered, complete configuration; one with a higher number replaces it."""
 
     number: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
     customers: dict[str, Customer]
-    """By the digest of a key, see `key_digest`."""
+    """Customers by the digest of an API key, see `key_digest`."""
     intake: IntakeLimits = IntakeLimits()
 
 
 class EndpointState(StrEnum):
-    """What an endpoint says of itself."""
+    """State that an endpoint reports in its entry."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -146,17 +146,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One incarnation of an endpoint, as it stands in the registry.
+    """Registry entry of one incarnation of an endpoint.
 
     Attributes
     ----------
     incarnation : str
-        Its key in the registry. A process may start again under the same one.
+        Key of the entry in the registry. A process may restart under the same key.
     born : int or None
-        When its process started, in ms of the time of day; None where it does not say. Two values
-        are compared for being equal only: the clock may have stepped back between two starts.
+        Wall-clock time at which the process started, in ms; None if not reported. Two values are
+        only compared for equality: the clock may have been set back between two starts.
     cold_s : float or None
-        How long it stays cold, counted from when it said so; None where it does not say.
+        Seconds that the endpoint stays cold, counted from the report; None if not reported.
     """
 
     incarnation: str
@@ -171,7 +171,7 @@
 
 
 class RolloutState(StrEnum):
-    """How far a roll-out is."""
+    """State of a roll-out."""
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """An operator's wish that a service's work moves to another version."""
+    """An operator's order to move a service's work to another version."""
 
     service: str
     target: str
@@ -189,14 +189,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneOut:
-    """An operator's word that an availability zone is out of service: nothing new goes there."""
+    """An operator's order that an availability zone is out of service and gets no new work."""
 
     zone: str
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A piece of a prompt; engines keep what they have read of it."""
+    """A part of a prompt; engines keep it in their prefix cache."""
 
     part_id: str
     tokens: int
@@ -209,17 +209,17 @@
     Attributes
     ----------
     call_id : str
-        The caller's own id of this attempt of its.
+        Id that the caller gave this attempt.
     headers : list of (bytes, bytes)
-        Those that are passed on as they are.
+        Headers that are forwarded unchanged.
     key : str or None
-        The customer's key.
+        The customer's API key.
     patience_s : float
-        How long the caller waits.
+        Seconds that the caller waits for an answer.
     picks_model : bool
-        Whether the choice of the model is the router's.
+        Whether the router chooses the model.
     last_event : bytes or None
-        The caller has the events of a stream up to this id.
+        Id of the last event of a stream that the caller has received.
     """
 
     call_id: str
@@ -239,7 +239,7 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Return the length of the prompt."""
+        """Return the length of the prompt in tokens."""
         return sum(part.tokens for part in self.prompt)
 
 
@@ -250,17 +250,17 @@
     Attributes
     ----------
     call_id : str or None
-        Which call it answers, if it says so.
+        Id of the call that the reply belongs to, if given.
     is_signed : bool
-        Whether it bears the endpoint's signature; a whole success always does.
+        Whether the reply has the endpoint's signature; a complete success always has one.
     not_run : bool
-        Whether the endpoint says that it did not run the call and never will.
+        Whether the endpoint reports that it did not run the call and never will.
     is_elsewhere : bool
-        Whether another incarnation has the address.
+        Whether another incarnation uses the address.
     confidence : int or None
-        The model's own opinion of its answer, 0 to 100.
+        Confidence that the model declares in its answer, 0 to 100.
     signals : HeadSignals
-        What the endpoint says of itself.
+        Signals that the endpoint reports about itself.
     """
 
     status: int
@@ -274,5 +274,5 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the status is one of success."""
+        """Whether the status is in the 2xx range."""
         return 200 <= self.status < 300
--- a/umberhitch/core/direct/tests/test_advertised_limits.py
+++ b/umberhitch/core/direct/tests/test_advertised_limits.py
@@ -1,4 +1,4 @@
-"""What is known of the rates that endpoints name, and the share that a router has of them."""
+"""Rate limits advertised by endpoints, and a router's quota of them."""
 
 from bisect import bisect_left
 from math import inf
@@ -30,7 +30,7 @@
 def _sends(
     shares: list[FleetShare], bound: FleetBound, seconds: float, lifetime: str = "e1"
 ) -> list[float]:
-    """Let each router send whenever it may, looked at 50 times a second; return when."""
+    """Let each router send whenever it may, checked 50 times per second; return the times."""
     sent_s = []
     for step in range(round(seconds * 50)):
         now_s = step / 50
@@ -41,22 +41,22 @@
     return sent_s
 
 
-def _most_within(times: list[float], span_s: float) -> int:
+def _max_within(times: list[float], span_s: float) -> int:
     return max((bisect_left(times, t + span_s) - n for n, t in enumerate(times)), default=0)
 
 
-# The share
+# Quotas
 
 
 @pytest.mark.parametrize("routers", SIZES)
 @pytest.mark.parametrize("rate", RATES)
-def test_of_what_an_endpoint_takes_four_fifths_are_used_and_no_more_than_all(rate, routers):
+def test_at_least_four_fifths_of_the_rate_are_used_and_no_more_than_all(rate, routers):
     bound = RULES.bound(rate)
     names = _names(routers)
     shares = [share for name in names if (share := _share(name, names)).quota("e1", bound)]
     times = _sends(shares, bound, 24.0)
-    assert _most_within(times, RULES.span_s) <= bound.rate * RULES.span_s + 1
-    wanted = min(bound.rate, 50.0 * len(shares)) * 24.0  # as often as is looked
+    assert _max_within(times, RULES.span_s) <= bound.rate * RULES.span_s + 1
+    wanted = min(bound.rate, 50.0 * len(shares)) * 24.0  # limited by the checks per second
     assert len(times) >= 0.8 * wanted - 1
 
 
@@ -66,10 +66,10 @@
     st.sets(st.integers(0, 60), min_size=1),
     st.integers(0, 1000),
 )
-def test_routers_by_a_list_and_others_without_a_seat_by_an_older_one_stay_within_the_bound(
+def test_registered_routers_and_unregistered_ones_with_an_older_list_stay_within_the_bound(
     rate, one, other, seed
 ):
-    """The lists may have no router in common: all that are cut off from the store, and all else."""
+    """The lists may have no router in common: those cut off from the store, and all others."""
     bound = RULES.bound(rate)
     new = [f"r{each}" for each in sorted(one)]
     old = [f"r{each}" for each in sorted(other)]
@@ -77,18 +77,18 @@
     for share in shares:
         share.update_registration(share.is_registered, 0.0)
     times = _sends(shares, bound, 9.0, f"e{seed}")
-    assert _most_within(times, RULES.span_s) <= bound.max_requests
+    assert _max_within(times, RULES.span_s) <= bound.max_requests
 
 
-def test_a_share_counts_as_used_when_a_limit_is_first_heard():
-    """What was sent before is under way, and nobody counted it."""
+def test_a_quota_counts_as_used_when_a_limit_is_first_received():
+    """Requests that were sent before are in flight and weren't counted."""
     share, bound = _share("r1", ["r1"]), RULES.bound(2.0)
     share.assume_used("e1", bound, 10.0)
     assert share.used("e1", bound, 10.0) == share.quota("e1", bound)
     assert 0.0 < share.wait_s("e1", bound, 10.0) <= 0.5
 
 
-def test_what_was_counted_is_not_taken_for_used_twice():
+def test_requests_that_were_counted_are_not_counted_again():
     share, bound = _share("r1", ["r1"]), RULES.bound(2.0)
     share.note_sent("e1", 9.0)
     share.assume_used("e1", bound, 10.0)
@@ -101,7 +101,7 @@
     assert share.wait_s("e1", bound, 1.0) == pytest.approx(0.25)
 
 
-def test_a_router_that_stood_still_has_no_list_until_it_has_its_seat():
+def test_a_router_that_was_stalled_has_no_list_until_it_is_registered():
     share, bound = _share("r1", ["r1"]), RULES.bound(2.0)
     share.update_registration(True, 1.0)
     assert share.has_router_list(3.0)
@@ -113,7 +113,7 @@
     assert share.wait_s("e1", bound, 10.0) == 0.0
 
 
-def test_a_router_without_a_seat_goes_by_its_last_list_for_a_minute_with_less():
+def test_an_unregistered_router_uses_its_last_list_for_a_minute_with_a_reduced_quota():
     share, bound = _share("r1", ["r1"]), RULES.bound(10.0)
     whole = share.quota("e1", bound)
     for second in range(60):
@@ -127,10 +127,10 @@
     assert not share.has_router_list(60.5)
 
 
-# What is known
+# Updates of the limits
 
 
-def test_an_answer_that_names_none_ends_it():
+def test_an_answer_without_a_limit_ends_the_limit():
     limits = AdvertisedLimits()
     assert limits.apply_answer("e1", 2.0, 1.0) is LimitChange.STARTED
     assert limits.apply_answer("e1", 2.0, 2.0) is LimitChange.NONE
@@ -141,7 +141,7 @@
     assert len(limits) == 0
 
 
-def test_a_peer_s_newer_word_wins_and_an_older_one_changes_nothing():
+def test_a_newer_notice_of_a_peer_wins_and_an_older_one_is_ignored():
     limits = AdvertisedLimits()
     limits.apply_notice("e1", 2.0, 1.0, "r2", 10.0)
     limits.apply_notice("e1", 5.0, 3.0, "r3", 10.0)
@@ -150,7 +150,7 @@
     assert (limits.get("e1").rate, limits.get("e1").source) == (4.0, "r3")
 
 
-def test_a_late_word_does_not_bring_back_what_has_ended():
+def test_a_delayed_notice_does_not_restore_an_ended_limit():
     limits = AdvertisedLimits()
     limits.apply_answer("e1", 2.0, 1.0)
     limits.apply_answer("e1", None, 5.0)
@@ -158,7 +158,7 @@
     assert limits.apply_notice("e1", 2.0, 0.1, "r2", 6.0) is LimitChange.STARTED
 
 
-def test_a_word_that_it_is_over_counts_only_if_it_is_surely_newer():
+def test_an_end_notice_is_applied_only_if_it_is_certainly_newer():
     limits = AdvertisedLimits()
     limits.apply_answer("e1", 2.0, 10.0)
     assert limits.apply_end_notice("e1", 0.0, 10.4) is LimitChange.NONE
@@ -166,23 +166,23 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 30), st.booleans()), min_size=1, max_size=12), st.data())
-def test_whatever_the_order_peers_end_up_with_the_newest_word(words, data):
-    """Words as (time, whether a rate is named), told in any order; ages are true."""
+def test_peers_converge_on_the_newest_notice_in_any_order(notices, data):
+    """Notices are (time, whether a rate is named), in any order and with correct ages."""
     now_s = 40.0
     limits = AdvertisedLimits()
-    for at_s, is_named in data.draw(st.permutations(words)):
+    for at_s, is_named in data.draw(st.permutations(notices)):
         if is_named:
             limits.apply_notice("e1", 2.0, now_s - at_s, "r2", now_s)
         else:
             limits.apply_end_notice("e1", now_s - at_s, now_s)
-    named = [at_s for at_s, is_named in words if is_named]
+    named = [at_s for at_s, is_named in notices if is_named]
     if not named:
         assert limits.get("e1") is None
-    elif not [at_s for at_s, is_named in words if not is_named and at_s > max(named)]:
+    elif not [at_s for at_s, is_named in notices if not is_named and at_s > max(named)]:
         assert limits.get("e1") is not None
 
 
-def test_one_that_may_not_send_looks_for_itself_after_a_minute_and_not_with_all_others():
+def test_a_router_that_is_no_sender_rechecks_after_a_minute_and_not_with_all_others():
     limits = AdvertisedLimits()
     limits.apply_answer("e1", 2.0, 0.0)
     limit = limits.get("e1")
@@ -190,14 +190,14 @@
     assert limits.may_recheck(limit, 6, 0.0, 61.0)
     assert not limits.may_recheck(limit, 6, 0.5, 61.0)
     assert not limits.may_recheck(limit, 370, 0.0, 739.0)
-    rng, looks = Random(1), []
+    rng, checks_s = Random(1), []
     for _ in range(370):
         jitter = rng.random()
-        looks.append(740.0 * (1.0 + jitter))
-    assert _most_within(sorted(looks), RULES.span_s) <= RULES.slack + 3
+        checks_s.append(740.0 * (1.0 + jitter))
+    assert _max_within(sorted(checks_s), RULES.span_s) <= RULES.slack + 3
 
 
-def test_times_are_kept_for_as_long_as_a_share_needs_them_and_no_longer():
+def test_send_times_are_kept_only_as_long_as_a_quota_needs_them():
     share, bound = _share("r1", ["r1"]), RULES.bound(300.0)
     for number in range(5000):
         share.note_sent("e1", number / 500)
@@ -208,7 +208,7 @@
     assert len(share._send_times["e1"]) <= 1000
 
 
-def test_nothing_is_kept_of_lifetimes_that_are_gone():
+def test_state_of_ended_lifetimes_is_removed():
     limits = AdvertisedLimits()
     limits.apply_answer("e1", 2.0, 0.0)
     limits.apply_answer("e2", 2.0, 0.0)
--- a/umberhitch/core/direct/tests/test_cascade.py
+++ b/umberhitch/core/direct/tests/test_cascade.py
@@ -1,4 +1,4 @@
-"""Model choice: by confidence, price and time."""
+"""Model cascade: choice of the model by confidence, price and time."""
 
 import pytest
 
@@ -21,54 +21,63 @@
 PRICES = {"small": 0.02, "large": 0.35}
 
 
-def make_ask(read: int = 800, made: int = 300) -> CallerRequest:
-    parts = (PromptPart("p", read),)
-    return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, made)
+def make_request(prompt: int = 800, output: int = 300) -> CallerRequest:
+    parts = (PromptPart("p", prompt),)
+    return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, output)
 
 
 def choose(
     confidence: int | None,
     wait_s: float = 0.1,
-    ask: CallerRequest | None = None,
+    req: CallerRequest | None = None,
     delay_cost: float = 0.0,
 ) -> str | None:
-    ask = ask or make_ask()
-    stake = make_answer_value(ROUTE, ask, AnswerValueLimits())
-    offer = Candidate(ENDPOINT, wait_s, delay_cost)
-    return Cascade().next_model(ROUTE, ask, stake, "small", confidence, PRICES, 0.05, offer)
+    req = req or make_request()
+    answer_value = make_answer_value(ROUTE, req, AnswerValueLimits())
+    candidate = Candidate(ENDPOINT, wait_s, delay_cost)
+    return Cascade().next_model(
+        ROUTE, req, answer_value, "small", confidence, PRICES, 0.05, candidate
+    )
 
 
-def test_the_smallest_model_is_asked_first_where_there_are_attempts_for_another():
-    assert Cascade().first_model(ROUTE, make_ask()) == "small"
+def test_the_smallest_model_is_tried_first_where_attempts_remain_for_another():
+    assert Cascade().first_model(ROUTE, make_request()) == "small"
     single = make_route("draft", RouteKind.STREAM, models=("small", "large"), max_attempts=1)
-    assert Cascade().first_model(single, make_ask()) == "large"
+    assert Cascade().first_model(single, make_request()) == "large"
 
 
 @pytest.mark.parametrize(
     ("confidence", "expected"), [(0, "large"), (40, "large"), (100, None), (None, None)]
 )
-def test_a_doubtful_answer_is_dropped_and_a_sure_one_kept(confidence, expected):
+def test_an_answer_of_low_confidence_is_dropped_and_one_of_high_confidence_kept(
+    confidence, expected
+):
     assert choose(confidence) == expected
 
 
-def test_what_would_come_late_is_dropped_only_if_it_is_worth_little():
+def test_where_the_large_model_would_be_late_only_a_bad_answer_is_dropped():
     assert choose(50, wait_s=2.0) is None
     assert choose(0, wait_s=2.0) == "large"
 
 
-def test_the_bar_is_lower_where_the_large_model_costs_much_of_the_worth():
-    bars = []
-    for ask in (make_ask(800, 300), make_ask(2400, 20)):
-        bars.append(max(each for each in range(101) if choose(each, ask=ask) is not None))
-    assert bars[0] > bars[1]
+def test_the_confidence_threshold_is_lower_where_the_large_model_costs_much_of_the_value():
+    thresholds = []
+    for req in (make_request(800, 300), make_request(2400, 20)):
+        thresholds.append(max(each for each in range(101) if choose(each, req=req) is not None))
+    assert thresholds[0] > thresholds[1]
 
 
 def test_the_largest_models_answer_is_kept():
-    stake = make_answer_value(ROUTE, make_ask(), AnswerValueLimits())
-    offer = Candidate(ENDPOINT, 0.1)
-    assert Cascade().next_model(ROUTE, make_ask(), stake, "large", 0, PRICES, 0.1, offer) is None
+    answer_value = make_answer_value(ROUTE, make_request(), AnswerValueLimits())
+    candidate = Candidate(ENDPOINT, 0.1)
+    assert (
+        Cascade().next_model(
+            ROUTE, make_request(), answer_value, "large", 0, PRICES, 0.1, candidate
+        )
+        is None
+    )
 
 
-def test_a_bad_answer_is_kept_where_the_large_models_time_costs_others_more():
+def test_a_bad_answer_is_kept_where_the_large_models_time_costs_other_requests_more():
     assert choose(20, delay_cost=0.2) == "large"
     assert choose(20, delay_cost=5.0) is None
--- a/umberhitch/core/direct/tests/test_change.py
+++ b/umberhitch/core/direct/tests/test_change.py
@@ -1,4 +1,4 @@
-"""A change makes of one configuration the other, whatever differs."""
+"""Diffing two configurations and applying the result."""
 
 from dataclasses import replace
 
@@ -39,20 +39,20 @@
 )
 
 
-def _found(document: Document) -> list[Route | None]:
+def _find_routes(document: Document) -> list[Route | None]:
     table = RouteTable(document)
     return [table.find(host, prefix + "z") for host in HOSTS for prefix in PREFIXES]
 
 
 @given(documents, documents)
-def test_a_change_makes_the_other_document(old, new):
-    made = apply_change(old, diff_documents(old, new))
-    assert made is not None
-    assert _found(made) == _found(new)
-    assert replace(made, routes=()) == replace(new, routes=())
+def test_applying_a_diff_yields_the_new_document(old, new):
+    result = apply_change(old, diff_documents(old, new))
+    assert result is not None
+    assert _find_routes(result) == _find_routes(new)
+    assert replace(result, routes=()) == replace(new, routes=())
 
 
 @given(documents, documents)
-def test_a_change_goes_with_its_own_base_only(old, new):
+def test_a_change_applies_only_to_its_base_document(old, new):
     other = replace(old, number=old.number + 1)
     assert apply_change(other, diff_documents(old, new)) is None
--- a/umberhitch/core/direct/tests/test_cold.py
+++ b/umberhitch/core/direct/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What cold endpoints get: within the bound over all routers, and not far under what they bear."""
+"""Requests to cold endpoints: within the bound over all routers, and not far below the rate."""
 
 from bisect import bisect_left
 from random import Random
@@ -24,7 +24,7 @@
 
 
 def _share(name: str, names: list[str]) -> FleetShare:
-    """Return a router that has its seat on a list."""
+    """Return the share of a router that is registered on a list."""
     share = FleetShare(name)
     share.set_routers(names)
     share.update_registration(True, 0.0)
@@ -36,7 +36,7 @@
 
 
 def _send_all(shares: list[FleetShare], endpoint: Endpoint, rate: float, now_s: float) -> int:
-    """Let each router send as often as it may, and return how many were sent."""
+    """Let each router send as many requests as it may, and return how many were sent."""
     sent = 0
     for share in shares:
         while _may_send(share, endpoint, rate, now_s):
@@ -46,12 +46,12 @@
 
 
 def _shares(lists: list[list[str]]) -> list[FleetShare]:
-    """Return a router for each name in each list, which goes by that list."""
+    """Return a share for each name in each list, which uses that list."""
     return [_share(name, names) for names in lists for name in names]
 
 
 @pytest.mark.parametrize("routers", [1, 2, 3, 6, 30, 100, 370])
-def test_a_crowd_at_all_routers_gets_no_more_than_the_rate_and_most_of_it(routers):
+def test_a_burst_at_all_routers_uses_most_of_the_rate_and_no_more(routers):
     shares = _shares([_names(routers)])
     sent = [_send_all(shares, _endpoint(f"e{number}"), RATE, 0.0) for number in range(20)]
     assert max(sent) <= RATE
@@ -64,8 +64,8 @@
     st.sets(st.integers(0, 60), min_size=1),
     st.integers(0, 1000),
 )
-def test_routers_by_two_lists_stay_within_the_bound_together(rate, one, other, seed):
-    """The lists may have no router in common: parts of the fleet that do not see each other."""
+def test_routers_with_two_lists_together_stay_within_the_bound(rate, one, other, seed):
+    """The lists may have no router in common, as in a network partition of the fleet."""
     shares = _shares([[f"r{each}" for each in sorted(names)] for names in (one, other)])
     endpoint, rng = _endpoint(f"e{seed}"), Random(seed)
     bound = rate * LIMITS.overrun + LIMITS.slack
@@ -79,17 +79,18 @@
 
 
 @given(st.floats(1.0, 400.0), st.integers(1, 60))
-def test_half_of_what_is_borne_is_used_at_least(rate, routers):
+def test_at_least_half_of_the_rate_is_used(rate, routers):
     shares = _shares([_names(routers)])
     sent = _send_all(shares, _endpoint(), rate, 0.0)
     assert sent >= min(rate, shares[0].total_quota(LIMITS.bound(rate))) / 2
 
 
-def test_many_changes_of_the_list_at_once_stay_within_the_bound_mostly():
-    """Each router goes by one of eight lists of a second in which five of 30 went and five came.
+def test_many_concurrent_lists_mostly_stay_within_the_bound():
+    """Each router uses one of eight lists from a second in which routers left and joined.
 
-    Such lists differ in few of an endpoint's senders, so that the sum stays under the bound though
-    there are more lists than it is reckoned with: 5 in 100 endpoints at most may see more than 20.
+    These lists differ in few senders of an endpoint. So the sum stays within the bound though there
+    are more lists than the bound allows for: at most 5 % of the endpoints may get more than 20
+    requests.
     """
     rng = Random(3)
     over = 0
@@ -107,11 +108,11 @@
     assert over <= 10
 
 
-def test_a_router_that_knows_no_list_sends_nothing():
+def test_a_router_without_a_list_sends_nothing():
     assert not _may_send(FleetShare("r1"), _endpoint(), RATE, 0.0)
 
 
-def test_a_share_comes_back_a_second_after_it_was_used():
+def test_a_quota_is_available_again_after_a_second():
     share = _share("r1", ["r1"])
     endpoint = _endpoint()
     assert _send_all([share], endpoint, RATE, 0.0) == 13
@@ -120,7 +121,7 @@
     assert _may_send(share, endpoint, RATE, 1.0)
 
 
-def test_what_was_sent_while_it_was_warm_counts():
+def test_requests_sent_while_the_endpoint_was_warm_count():
     share = _share("r1", ["r1"])
     endpoint = _endpoint()
     for _ in range(40):
@@ -128,14 +129,14 @@
     assert not _may_send(share, endpoint, RATE, 0.5)
 
 
-def test_a_rate_of_less_than_one_a_second_lets_one_through_in_a_longer_time():
+def test_a_rate_below_one_per_second_admits_one_request_in_a_longer_window():
     share = _share("r1", ["r1"])
     endpoint = _endpoint()
     share.note_sent(endpoint.lifetime, 0.0)
     assert share.wait_s(endpoint.lifetime, LIMITS.bound(0.25), 1.0) == 3.0
 
 
-def test_nothing_is_kept_of_lifetimes_that_are_gone():
+def test_state_of_ended_lifetimes_is_removed():
     share = _share("r1", ["r1"])
     endpoint = _endpoint()
     _send_all([share], endpoint, RATE, 0.0)
@@ -144,7 +145,7 @@
     assert not share._ranks
 
 
-# How a directory knows
+# Cold endpoints in the directory
 
 
 def _directory(cold_start_s: float = 3.0) -> Directory:
@@ -154,7 +155,7 @@
     return directory
 
 
-def test_an_endpoint_is_cold_as_long_as_it_says_from_when_that_is_heard():
+def test_an_endpoint_is_cold_for_the_named_time_from_receipt_of_its_entry():
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=2.0), 5.0)
     endpoint = directory.get("e1")
@@ -163,7 +164,7 @@
     assert endpoint.cold_source == "its entry"
 
 
-def test_it_may_become_cold_again_and_warm_sooner():
+def test_an_endpoint_may_become_cold_again_and_warm_early():
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=0.0), 5.0)
     endpoint = directory.get("e1")
@@ -174,28 +175,28 @@
     assert not endpoint.is_cold(9.0)
 
 
-def test_the_same_word_said_again_counts_from_when_it_is_said_again():
+def test_a_repeated_entry_restarts_the_cold_time():
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=2.0), 5.0)
     directory.put(make_endpoint_entry("e1", cold_s=2.0), 6.5)
     assert directory.get("e1").is_cold(8.4)
 
 
-def test_a_new_one_that_does_not_say_is_taken_for_cold():
+def test_a_new_endpoint_without_a_cold_time_is_assumed_cold():
     directory = _directory()
     directory.put(make_endpoint_entry("e1"), 5.0)
     assert directory.get("e1").is_cold(7.9)
     assert not directory.get("e1").is_cold(8.0)
 
 
-def test_one_that_was_there_when_the_router_started_is_not():
+def test_an_endpoint_known_at_router_start_is_not_assumed_cold():
     directory = _directory()
     directory.is_loaded = False
     directory.put(make_endpoint_entry("e1"), 5.0)
     assert not directory.get("e1").is_cold(5.0)
 
 
-def test_a_process_that_ended_and_answers_again_is_taken_for_cold():
+def test_an_endpoint_that_crashed_and_answers_again_is_assumed_cold():
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=0.0), 5.0)
     endpoint = directory.get("e1")
@@ -205,7 +206,7 @@
     assert endpoint.cold_source == "its process had ended"
 
 
-def test_one_that_was_only_silent_is_not():
+def test_an_unreachable_endpoint_that_did_not_crash_is_not_assumed_cold():
     directory = _directory()
     directory.put(make_endpoint_entry("e1", cold_s=0.0), 5.0)
     endpoint = directory.get("e1")
@@ -214,7 +215,7 @@
     assert not endpoint.is_cold(9.0)
 
 
-def test_where_no_endpoint_is_ever_cold_none_is_taken_for_it():
+def test_no_endpoint_is_assumed_cold_where_the_cold_time_is_zero():
     directory = _directory(0.0)
     directory.put(make_endpoint_entry("e1"), 5.0)
     directory.disable_zone("a", 5.0)
--- a/umberhitch/core/direct/tests/test_crash_record.py
+++ b/umberhitch/core/direct/tests/test_crash_record.py
@@ -1,7 +1,7 @@
-"""Who is blamed for a crash, when a probe is let through, and what is remembered at most.
+"""Attribution of crashes to requests, admission of probes, and size limits of the record.
 
-The load that this answers: one request takes endpoint after endpoint while others are under way
-there, and some of these are asked for by many callers. Three crashes and 600 s: see `CrashLimits`.
+They guard against one request that crashes endpoint after endpoint while other requests are running
+there, some of which many callers send. `CrashLimits` gives the reasons for three crashes and 600 s.
 """
 
 from itertools import pairwise, permutations
@@ -16,8 +16,8 @@
 OTHER = "d" * 16 + "2" * 16
 
 
-def _crash(number: int, began_s: float = 10.0, place: str = "svc/v1") -> Crash:
-    return Crash(f"e{number}", place, began_s, began_s + 0.1)
+def _crash(number: int, started_s: float = 10.0, service_version: str = "svc/v1") -> Crash:
+    return Crash(f"e{number}", service_version, started_s, started_s + 0.1)
 
 
 def _held(limits: CrashLimits | None = None) -> CrashRecord:
@@ -27,7 +27,7 @@
     return record
 
 
-def test_the_third_endpoint_is_what_holds_a_request():
+def test_a_request_is_held_from_the_third_crashed_endpoint_on():
     record = CrashRecord()
     assert [record.note_crash(KEY, _crash(n)) for n in (1, 1, 2)] == [True, False, True]
     assert record.hold(KEY, 11.0) is None
@@ -36,19 +36,19 @@
     assert not record.is_held(OTHER)
 
 
-def test_a_run_that_ends_frees_of_the_blame_of_all_that_began_before():
+def test_a_completed_run_clears_the_crashes_of_runs_started_before():
     record = _held()
     assert record.note_run_end(KEY, 12.0)
     assert not record.is_suspect(KEY)
-    assert not record.note_crash(KEY, _crash(7, began_s=11.0))
-    assert record.note_crash(KEY, _crash(8, began_s=13.0))
+    assert not record.note_crash(KEY, _crash(7, started_s=11.0))
+    assert record.note_crash(KEY, _crash(8, started_s=13.0))
 
 
-def test_the_order_in_which_it_is_told_changes_nothing():
+def test_the_order_of_notices_does_not_matter():
     def crash(number: int):
-        return lambda record: record.note_crash(KEY, _crash(number, began_s=float(number)))
+        return lambda record: record.note_crash(KEY, _crash(number, started_s=float(number)))
 
-    steps = [crash(1), crash(2), crash(5), lambda record: record.note_end(KEY, 2.0)]
+    steps = [crash(1), crash(2), crash(5), lambda record: record.note_run_end(KEY, 2.0)]
     found = set()
     for order in permutations(steps):
         record = CrashRecord()
@@ -58,7 +58,7 @@
     assert found == {("e5",)}
 
 
-WORDS = st.lists(
+NOTICES = st.lists(
     st.one_of(
         st.tuples(st.just("crash"), st.integers(0, 5), st.integers(0, 20)),
         st.tuples(st.just("end"), st.just(0), st.integers(0, 20)),
@@ -67,10 +67,10 @@
 )
 
 
-def _told(words: list[tuple[str, int, int]]) -> list[str]:
-    """Return the lifetimes held against a request after all was told."""
+def _crashed_lifetimes(notices: list[tuple[str, int, int]]) -> list[str]:
+    """Return the lifetimes whose crashes count against a request after all notices."""
     record = CrashRecord()
-    for what, number, at in words:
+    for what, number, at in notices:
         if what == "end":
             record.note_run_end(KEY, float(at))
         else:
@@ -78,28 +78,28 @@
     return sorted(each.lifetime for each in record.crashes(KEY))
 
 
-@given(WORDS, st.integers(0, 1000))
-def test_routers_that_heard_the_same_hold_the_same(words, seed):
-    again = words + words
-    Random(seed).shuffle(again)
-    assert _told(again) == _told(words)
+@given(NOTICES, st.integers(0, 1000))
+def test_routers_with_the_same_notices_hold_the_same_crashes(notices, seed):
+    repeated = notices + notices
+    Random(seed).shuffle(repeated)
+    assert _crashed_lifetimes(repeated) == _crashed_lifetimes(notices)
 
 
-def test_probes_come_one_at_a_time_and_ever_more_seldom():
+def test_probes_run_one_at_a_time_at_increasing_intervals():
     record = _held()
     untils = []
     for probes in range(1, 6):
         hold = record.hold(KEY, 0.0)
         untils.append(round(hold.until_s, 1))
         record.note_probe(KEY, "svc/v1", probes, hold.until_s, hold.until_s + 5.0)
-        assert record.hold(KEY, 0.0).until_s >= hold.until_s + 5.0, "one under way"
+        assert record.hold(KEY, 0.0).until_s >= hold.until_s + 5.0, "one is running"
         record.note_probe_end(KEY)
     gaps = [round(later - sooner) for sooner, later in pairwise(untils)]
     assert gaps == [10, 600, 1200, 2400]
     assert untils[0] == 11.1
 
 
-def test_another_version_gets_one_probe_of_its_own():
+def test_another_version_gets_one_early_probe():
     record = _held()
     for probes in (1, 2):
         record.note_probe(KEY, "svc/v1", probes, 20.0 * probes, 20.0 * probes)
@@ -109,7 +109,7 @@
     assert record.hold(KEY, 60.0, "svc/v2").until_s == 1250.0
 
 
-def test_a_customer_with_many_bodies_takes_no_others_place():
+def test_a_customer_with_many_requests_evicts_none_of_other_customers():
     record = CrashRecord(CrashLimits(max_requests=20, max_requests_per_customer=8))
     for number in range(3):
         record.note_crash(OTHER, _crash(number))
@@ -119,7 +119,7 @@
     assert record.is_held(OTHER)
 
 
-def test_many_customers_are_bounded_too_and_the_strongest_evidence_stays():
+def test_many_customers_are_bounded_and_requests_with_most_crashes_stay():
     record = _held(CrashLimits(max_requests=20, max_requests_per_customer=8))
     for number in range(1000):
         record.note_crash(f"{number:016x}" + "a" * 16, _crash(number))
@@ -127,7 +127,7 @@
     assert record.is_held(KEY)
 
 
-def test_ends_are_remembered_within_a_bound():
+def test_the_number_of_remembered_completions_is_bounded():
     record = CrashRecord(CrashLimits(max_run_ends=10))
     for number in range(1000):
         record.note_run_end(f"{number:032x}", float(number))
@@ -135,7 +135,7 @@
     assert record.last_run_end_s(f"{999:032x}") == 999.0
 
 
-def test_what_is_long_past_is_forgotten():
+def test_old_crashes_are_forgotten_but_not_holds():
     record = CrashRecord()
     record.note_crash(KEY, _crash(1))
     record.forget(3_600.0)
--- a/umberhitch/core/direct/tests/test_directory.py
+++ b/umberhitch/core/direct/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory: bans, and one call at a time for what failed."""
+"""Bans, sampling, draining and affinities in the directory."""
 
 from random import Random
 
@@ -6,28 +6,28 @@
 from umberhitch.testing import make_endpoint_entry
 
 
-def test_an_endpoint_that_failed_is_tried_by_one_call_at_a_time():
+def test_a_failed_endpoint_is_retried_by_one_call_at_a_time():
     directory = Directory()
     directory.put(make_endpoint_entry("e1"), 0.0)
     directory.put(make_endpoint_entry("e2"), 0.0)
-    dark = directory.get("e1")
-    dark.note_failure(0.0)
-    assert dark not in directory.ready("svc", 0.4)
-    assert dark in directory.ready("svc", 0.6)
-    dark.note_call_sent(0.6)
-    assert dark not in directory.ready("svc", 0.7)
-    directory.note_answer(dark, 0.7)
-    assert dark in directory.ready("svc", 0.7)
+    endpoint = directory.get("e1")
+    endpoint.note_failure(0.0)
+    assert endpoint not in directory.ready("svc", 0.4)
+    assert endpoint in directory.ready("svc", 0.6)
+    endpoint.note_call_sent(0.6)
+    assert endpoint not in directory.ready("svc", 0.7)
+    directory.note_answer(endpoint, 0.7)
+    assert endpoint in directory.ready("svc", 0.7)
 
 
-def test_where_all_endpoints_are_banned_the_bans_are_not_kept():
+def test_bans_are_ignored_where_all_endpoints_are_banned():
     directory = Directory()
     directory.put(make_endpoint_entry("e1"), 0.0)
     directory.get("e1").note_failure(0.0)
     assert len(directory.ready("svc", 0.1)) == 1
 
 
-def test_a_home_moves_only_with_its_own_endpoint():
+def test_an_affinity_changes_only_if_its_endpoint_is_removed():
     directory = Directory()
     for number in range(20):
         directory.put(make_endpoint_entry(f"e{number}"), 0.0)
@@ -39,7 +39,7 @@
     assert moved == {part for part in parts if before[part] == "e3"}
 
 
-def test_of_a_large_service_a_sample_is_looked_at():
+def test_the_endpoints_of_a_large_service_are_sampled():
     directory = Directory()
     for number in range(600):
         directory.put(make_endpoint_entry(f"e{number}"), 0.0)
@@ -51,7 +51,7 @@
     assert len(small.ready("svc", 0.0, Random(1))) == 40
 
 
-def test_a_draining_endpoint_takes_no_work_and_is_no_home():
+def test_a_draining_endpoint_gets_no_requests_and_no_affinity():
     directory = Directory()
     directory.put(make_endpoint_entry("e1"), 0.0)
     directory.put(make_endpoint_entry("e2"), 0.0)
--- a/umberhitch/core/direct/tests/test_lifetimes.py
+++ b/umberhitch/core/direct/tests/test_lifetimes.py
@@ -1,4 +1,4 @@
-"""The directory where an endpoint starts again under its incarnation."""
+"""Restarts of an endpoint under the same incarnation, in the directory."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     return directory.get("e1").entry.born
 
 
-def test_a_new_lifetime_knows_nothing_of_the_bans_of_the_one_before():
+def test_a_new_lifetime_does_not_inherit_bans():
     directory = _directory(1000)
     before = directory.get("e1")
     before.note_failure(0.0)
@@ -26,18 +26,18 @@
     assert ended is before
     after = directory.get("e1")
     assert after.accepts_work(0.1)
-    before.note_failure(0.2)  # a call to the one before ends late
+    before.note_failure(0.2)  # a call to the previous lifetime fails late
     assert after.accepts_work(0.2)
     assert directory.of_lifetime(before.lifetime) is None
     assert directory.of_lifetime(after.lifetime) is after
 
 
 @pytest.mark.parametrize("born", [500, 2000, None])
-def test_a_lifetime_is_new_whatever_its_clock_said(born):
+def test_a_lifetime_is_new_whatever_its_start_time(born):
     assert _born(_directory(1000, born)) == born
 
 
-def test_the_same_lifetime_keeps_what_is_known_of_it():
+def test_the_same_lifetime_keeps_its_state():
     directory = _directory(1000)
     known = directory.get("e1")
     draining = make_endpoint_entry("e1", state=EndpointState.DRAINING, born=1000)
@@ -45,18 +45,18 @@
     assert directory.get("e1") is known
 
 
-def test_a_late_entry_of_a_replaced_lifetime_changes_nothing():
-    """A write whose answer was lost may be done some seconds later."""
+def test_a_delayed_entry_of_a_replaced_lifetime_is_ignored():
+    """A write whose reply was lost may take effect some seconds later."""
     directory = _directory(1000, 2000)
     directory.put(make_endpoint_entry("e1", "v0", born=1000), 1.0)
     assert _born(directory) == 2000
-    directory.put(make_endpoint_entry("e1", born=2000), 2.0)  # the next one of who lives
+    directory.put(make_endpoint_entry("e1", born=2000), 2.0)  # next write of the running process
     directory.sweep(9.0)
     assert _born(directory) == 2000
 
 
-def test_an_entry_that_stands_is_taken_though_its_lifetime_had_been_replaced():
-    """Another writer named a lifetime that never was; the endpoint itself goes on writing."""
+def test_an_entry_that_stays_is_applied_though_its_lifetime_was_replaced():
+    """Another writer named a lifetime that never existed, and the endpoint continues to write."""
     directory = _directory(1000, 7)
     directory.put(make_endpoint_entry("e1", born=1000), 1.0)
     directory.put(make_endpoint_entry("e1", born=1000), 2.2)
@@ -64,14 +64,14 @@
     assert _born(directory) == 1000
 
 
-def test_a_late_entry_after_the_endpoint_has_left_does_not_bring_it_back_at_once():
+def test_a_delayed_entry_after_the_endpoint_was_removed_is_not_applied_at_once():
     directory = _directory(1000, 2000)
     directory.drop("e1")
     directory.put(make_endpoint_entry("e1", born=1000), 1.0)
     assert directory.get("e1") is None
 
 
-def test_an_entry_that_lapsed_comes_back_in_the_same_lifetime_or_in_another():
+def test_a_lapsed_entry_may_return_in_the_same_lifetime_or_another():
     directory = _directory(1000)
     known = directory.get("e1")
     directory.lapse("e1", 0.0, None)
@@ -83,13 +83,15 @@
     assert _born(directory) == 2000
 
 
-def test_parts_keep_their_home_where_it_starts_again():
+def test_parts_keep_their_affinity_when_its_endpoint_restarts():
     directory = Directory()
     for number in range(20):
         directory.put(make_endpoint_entry(f"e{number}", born=1), 0.0)
     parts = [f"p{number}" for number in range(100)]
     before = {part: directory.affinity_endpoint("svc", part).entry.incarnation for part in parts}
     directory.put(make_endpoint_entry("e3", born=2), 0.1)
-    homes = {part: directory.affinity_endpoint("svc", part) for part in parts}
-    assert {part: home.entry.incarnation for part, home in homes.items()} == before
-    assert all(home is directory.get(home.entry.incarnation) for home in homes.values())
+    affinities = {part: directory.affinity_endpoint("svc", part) for part in parts}
+    assert {part: endpoint.entry.incarnation for part, endpoint in affinities.items()} == before
+    assert all(
+        endpoint is directory.get(endpoint.entry.incarnation) for endpoint in affinities.values()
+    )
--- a/umberhitch/core/direct/tests/test_placement.py
+++ b/umberhitch/core/direct/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: least work, what is cached, and the same home for all routers."""
+"""Placement: least work, prefix caches, and the same affinity endpoint at all routers."""
 
 from dataclasses import replace
 
@@ -25,7 +25,7 @@
 ENDPOINTS = [Endpoint(make_endpoint_entry(f"e{number}")) for number in range(8)]
 
 
-def make_ask(subject: str = "s", shared: int = 4000, own: int = 500) -> CallerRequest:
+def make_request(subject: str = "s", shared: int = 4000, own: int = 500) -> CallerRequest:
     parts = (PromptPart(subject, shared), PromptPart("own", own))
     return CallerRequest("a", b"POST", b"/", "h", "/", [], None, 10.0, True, parts, 100)
 
@@ -35,21 +35,21 @@
 
 
 def choose(
-    placement: Placement, ask: CallerRequest, now_s: float = 0.0, price: EnginePrice = PRICE
+    placement: Placement, req: CallerRequest, now_s: float = 0.0, price: EnginePrice = PRICE
 ) -> Endpoint:
-    if not ask.prompt:
+    if not req.prompt:
         return placement.choose_plain(ENDPOINTS, now_s).endpoint
-    stake = make_answer_value(ROUTE, ask, AnswerValueLimits())
-    work = EngineCall(ask, "large", MODELS, stake, price, home_of(ask))
-    return placement.choose_engine(ENDPOINTS, work, now_s).endpoint
+    answer_value = make_answer_value(ROUTE, req, AnswerValueLimits())
+    call = EngineCall(req, "large", MODELS, answer_value, price, affinity_endpoint(req))
+    return placement.choose_engine(ENDPOINTS, call, now_s).endpoint
 
 
-def home_of(ask: CallerRequest) -> Endpoint:
+def affinity_endpoint(req: CallerRequest) -> Endpoint:
     directory = Directory()
     for endpoint in ENDPOINTS:
         directory.put(endpoint.entry, 0.0)
-    home = directory.affinity_endpoint("svc", ask.prompt[-2].part_id)
-    return next(each for each in ENDPOINTS if each.entry == home.entry)
+    found = directory.affinity_endpoint("svc", req.prompt[-2].part_id)
+    return next(each for each in ENDPOINTS if each.entry == found.entry)
 
 
 def test_plain_calls_spread_over_endpoints():
@@ -62,51 +62,51 @@
     assert len(chosen) == 8
 
 
-def test_routers_that_know_nothing_of_each_other_choose_the_same_home():
+def test_routers_without_contact_choose_the_same_affinity_endpoint():
     for subject in ("s1", "s2", "s3"):
-        homes = {choose(Placement("a"), make_ask(subject)).entry.incarnation for _ in range(3)}
-        assert len(homes) == 1
-    homes = {choose(Placement("a"), make_ask(f"t{n}")).entry.incarnation for n in range(40)}
-    assert len(homes) > 4
+        chosen = {choose(Placement("a"), make_request(subject)).entry.incarnation for _ in range(3)}
+        assert len(chosen) == 1
+    chosen = {choose(Placement("a"), make_request(f"t{n}")).entry.incarnation for n in range(40)}
+    assert len(chosen) > 4
 
 
-def test_what_is_cached_there_draws_a_call_and_a_queue_drives_it_away():
+def test_a_prefix_cache_attracts_a_call_and_a_queue_repels_it():
     placement = Placement("a")
-    home = choose(placement, make_ask())
-    other = next(each for each in ENDPOINTS if each is not home)
-    placed = placement.place(other, make_ask(), "large", MODELS, SERVICE, 0.0)
+    preferred = choose(placement, make_request())
+    other = next(each for each in ENDPOINTS if each is not preferred)
+    placed = placement.place(other, make_request(), "large", MODELS, SERVICE, 0.0)
     placement.release(placed, False)
-    assert choose(placement, make_ask()) is other
+    assert choose(placement, make_request()) is other
     for number in range(6):
-        placement.place(other, make_ask(f"x{number}", 4000), "large", MODELS, SERVICE, 0.0)
-    assert choose(placement, make_ask()) is other  # it is in time there all the same
+        placement.place(other, make_request(f"x{number}", 4000), "large", MODELS, SERVICE, 0.0)
+    assert choose(placement, make_request()) is other  # it is on time there all the same
     for number in range(6, 30):
-        placement.place(other, make_ask(f"x{number}", 4000), "large", MODELS, SERVICE, 0.0)
-    assert choose(placement, make_ask()) is not other
+        placement.place(other, make_request(f"x{number}", 4000), "large", MODELS, SERVICE, 0.0)
+    assert choose(placement, make_request()) is not other
 
 
-def test_a_prompt_is_read_near_by_unless_the_way_saves_much():
-    """Small models read again near by; what a large one has read elsewhere is worth the way."""
-    far = [Endpoint(replace(each.entry, zone="b")) for each in ENDPOINTS[1:]]
-    endpoints = [ENDPOINTS[0], *far]
+def test_a_call_crosses_zones_only_where_a_cached_prefix_saves_much():
+    """A local prefill is preferred for a short prompt, the remote cache for a long one."""
+    remote = [Endpoint(replace(each.entry, zone="b")) for each in ENDPOINTS[1:]]
+    endpoints = [ENDPOINTS[0], *remote]
     chosen = []
     for shared in (1000, 30_000):
         placement = Placement("a")
-        ask = make_ask(shared=shared)
-        ask.body = b"x" * 4500
-        placement.release(placement.place(far[0], ask, "large", MODELS, SERVICE, 0.0), False)
-        work = EngineCall(
-            ask, "large", MODELS, make_answer_value(ROUTE, ask, AnswerValueLimits()), PRICE
+        req = make_request(shared=shared)
+        req.body = b"x" * 4500
+        placement.release(placement.place(remote[0], req, "large", MODELS, SERVICE, 0.0), False)
+        call = EngineCall(
+            req, "large", MODELS, make_answer_value(ROUTE, req, AnswerValueLimits()), PRICE
         )
-        chosen.append(placement.choose_engine(endpoints, work, 0.0).endpoint)
-    assert chosen == [ENDPOINTS[0], far[0]]
+        chosen.append(placement.choose_engine(endpoints, call, 0.0).endpoint)
+    assert chosen == [ENDPOINTS[0], remote[0]]
 
 
-def test_what_peers_have_under_way_counts():
+def test_calls_of_peers_count_as_load():
     placement = Placement("a")
-    home = choose(placement, make_ask())
-    placement.update_peer_load(home.entry.incarnation, 20, 3.0, -1, 0.0)
-    assert choose(placement, make_ask()) is not home
+    preferred = choose(placement, make_request())
+    placement.update_peer_load(preferred.entry.incarnation, 20, 3.0, -1, 0.0)
+    assert choose(placement, make_request()) is not preferred
 
 
 def test_an_endpoint_whose_calls_fail_is_avoided():
@@ -132,10 +132,10 @@
     assert [each.entry.incarnation for each in (fresh, stale)] == ["e1", "e0"]
 
 
-def test_what_was_placed_is_released_whole():
+def test_released_calls_leave_no_load():
     placement = Placement("a")
-    placed = [placement.place(ENDPOINTS[0], make_ask(), "large", MODELS, SERVICE, 0.0)]
-    placed.append(placement.place(ENDPOINTS[0], make_ask("y"), "large", MODELS, SERVICE, 0.0))
+    placed = [placement.place(ENDPOINTS[0], make_request(), "large", MODELS, SERVICE, 0.0)]
+    placed.append(placement.place(ENDPOINTS[0], make_request("y"), "large", MODELS, SERVICE, 0.0))
     placement.note_reply_started(placed[0], 0.2)
     for each in placed:
         placement.release(each, None)
--- a/umberhitch/core/direct/tests/test_zones.py
+++ b/umberhitch/core/direct/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Availability zones out of service, in the directory: nothing new goes there, and back."""
+"""Availability zones that go out of service and back, in the directory."""
 
 from random import Random
 
@@ -22,45 +22,47 @@
     return {each.entry.zone for each in directory.ready("svc", 1.0, Random(1))}
 
 
-def _homes(directory: Directory) -> dict[str, str]:
+def _affinities(directory: Directory) -> dict[str, str]:
     found = {part: directory.affinity_endpoint("svc", part) for part in PARTS}
-    return {part: home.entry.incarnation for part, home in found.items() if home is not None}
+    return {
+        part: endpoint.entry.incarnation for part, endpoint in found.items() if endpoint is not None
+    }
 
 
-def test_nothing_new_goes_to_a_zone_that_is_out():
+def test_a_zone_out_of_service_gets_no_new_requests():
     directory = _directory()
     assert directory.disable_zone("b", 0.0)
     assert _zones(directory) == {"a", "c"}
-    assert not any(name.startswith("b") for name in _homes(directory).values())
+    assert not any(name.startswith("b") for name in _affinities(directory).values())
 
 
-def test_only_the_homes_of_the_zone_move_and_they_return():
+def test_only_affinities_in_the_zone_change_and_they_return():
     directory = _directory()
-    before = _homes(directory)
+    before = _affinities(directory)
     directory.disable_zone("b", 0.0)
-    during = _homes(directory)
+    during = _affinities(directory)
     moved = {part for part in PARTS if before[part] != during[part]}
     assert moved == {part for part in PARTS if before[part].startswith("b")}
     directory.enable_zone("b", 5.0)
-    assert _homes(directory) == before
+    assert _affinities(directory) == before
 
 
-def test_an_entry_that_comes_while_its_zone_is_out_takes_no_work():
+def test_an_endpoint_that_appears_in_a_zone_out_of_service_gets_no_requests():
     directory = _directory()
     directory.disable_zone("b", 0.0)
     directory.put(make_endpoint_entry("b9", zone="b"), 1.0)
     assert _zones(directory) == {"a", "c"}
-    assert "b9" not in _homes(directory).values()
+    assert "b9" not in _affinities(directory).values()
 
 
-def test_bans_of_all_others_do_not_open_a_zone_that_is_out():
+def test_bans_of_all_others_do_not_enable_a_zone_out_of_service():
     directory = _directory("ab", 1)
     directory.disable_zone("b", 0.0)
     directory.get("a0").note_failure(0.0)
     assert _zones(directory) == {"a"}
 
 
-def test_with_all_zones_out_there_is_no_endpoint_and_no_home():
+def test_with_all_zones_out_of_service_there_is_no_endpoint_and_no_affinity():
     directory = _directory("ab")
     directory.disable_zone("a", 0.0)
     directory.disable_zone("b", 0.0)
@@ -68,7 +70,7 @@
     assert directory.affinity_endpoint("svc", "p1") is None
 
 
-def test_a_zone_that_nobody_knows_and_twenty_at_once_do_no_harm():
+def test_zones_without_endpoints_may_go_out_of_service():
     directory = _directory()
     for number in range(20):
         directory.disable_zone(f"z{number}", 0.0)
@@ -77,7 +79,7 @@
     assert "late" not in {each.entry.incarnation for each in directory.ready("svc", 1.0)}
 
 
-def test_out_twice_is_out_once_and_back_twice_is_back_once():
+def test_repeated_changes_of_a_zone_have_no_effect():
     directory = _directory()
     assert directory.disable_zone("a", 0.0)
     assert not directory.disable_zone("a", 0.0)
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize("cold_start_s", [0.0, 3.0])
-def test_endpoints_of_a_zone_that_is_back_are_taken_for_cold(cold_start_s):
+def test_endpoints_of_a_zone_back_in_service_are_assumed_cold(cold_start_s):
     directory = _directory("ab", 1)
     directory.set_cold_starts({"svc": cold_start_s})
     directory.disable_zone("b", 0.0)
@@ -97,7 +99,7 @@
     assert not other.is_cold(10.0)
 
 
-def test_a_warm_word_from_before_does_not_end_the_guard():
+def test_an_entry_without_cold_time_left_does_not_end_the_assumption():
     directory = _directory("ab", 1)
     directory.set_cold_starts({"svc": 3.0})
     directory.disable_zone("b", 0.0)
@@ -106,7 +108,7 @@
     assert directory.get("b0").is_cold(12.9)
 
 
-def test_what_drains_in_a_zone_that_is_out_is_no_home_when_that_is_back():
+def test_an_endpoint_that_drained_in_a_zone_out_of_service_stays_out():
     directory = _directory("ab", 1)
     directory.disable_zone("b", 0.0)
     directory.put(make_endpoint_entry("b0", zone="b", state=EndpointState.DRAINING), 1.0)
--- a/umberhitch/ports/__init__.py
+++ b/umberhitch/ports/__init__.py
@@ -1,7 +1,7 @@
-"""Interfaces to the world outside the core: log, host list, back ends, peers and time.
+"""Ports of the core: the log, the host list, back ends, peers and the clock.
 
-A name is loaded with its module when it is first asked for: a router of the direct path needs only
-the clock and the link, and what it does not load makes its start shorter.
+Modules are imported lazily, on first access to one of their names. A router of the direct path
+needs only the clock and the link, and starts faster without the other modules.
 """
 
 from importlib import import_module
@@ -50,7 +50,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load a name of ``__all__`` (PEP 562)."""
+    """Import a name of ``__all__`` on first access (PEP 562)."""
     if name in __all__:
         for each in MODULES:
             module = import_module(f"{__name__}.{each}")
