--- a/umberhitch/ports/clock.py
+++ b/umberhitch/ports/clock.py
@@ -1,6 +1,6 @@
-"""Port to time: the part of Twisted's ``IReactorTime`` that the tasks use.
+"""Port to the clock: the subset of Twisted's ``IReactorTime`` that the tasks use.
 
-A reactor offers it in production, `twisted.internet.task.Clock` in tests.
+The reactor implements it in production and `twisted.internet.task.Clock` in tests.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A delayed call."""
 
     def cancel(self) -> None:
-        """Drop the call."""
+        """Cancel the call."""
         ...
 
     def active(self) -> bool:
-        """Whether the call is still due."""
+        """Return whether the call is still pending."""
         ...
 
 
@@ -27,16 +27,16 @@
     """Monotonic time and delayed calls."""
 
     def seconds(self) -> float:
-        """Return the time in seconds; only differences mean something."""
+        """Return the monotonic time in seconds; only differences are meaningful."""
         ...
 
     def callLater(self, delay: float, callable: Callable[..., Any], *args: Any, **kw: Any) -> Timer:
-        """Call after ``delay`` seconds."""
+        """Call ``callable`` after ``delay`` seconds."""
         ...
 
 
 def pause(clock: Clock, delay_s: float) -> Deferred[None]:
-    """Return a Deferred that fires after a delay."""
+    """Return a Deferred that fires after ``delay_s`` seconds."""
     done: Deferred[None] = Deferred()
     clock.callLater(max(0.0, delay_s), done.callback, None)
     return done
--- a/umberhitch/ports/direct.py
+++ b/umberhitch/ports/direct.py
@@ -1,4 +1,4 @@
-"""Ports of the direct path: callers, endpoints, the platform's store and the words on the wire."""
+"""Ports of the direct path: callers, endpoints, the platform's store and the HTTP headers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -47,12 +47,12 @@
 
 @dataclass(slots=True)
 class RawRequest:
-    """A caller's request as it came, body included.
+    """A caller's request as received, including its body.
 
     Attributes
     ----------
     received_s : float
-        On the steady clock, when its first byte was read.
+        Time on the monotonic clock at which the first byte was read.
     """
 
     method: bytes
@@ -63,105 +63,106 @@
 
 
 def do_nothing() -> None:
-    """Do nothing: a caller that leaves after its answer was complete stops nothing."""
+    """Do nothing; for example, when a caller disconnects after its answer was complete."""
 
 
 class CallerReply(Protocol):
-    """The way back to one caller; nothing may follow `end` or `abort`."""
+    """The reply to one caller; no call may follow `end` or `abort`."""
 
     def head(self, status: int, headers: HeaderList) -> None:
-        """Begin the reply."""
+        """Send the head of the reply."""
         ...
 
     def data(self, data: bytes) -> None:
-        """Send more of the body."""
+        """Send the next part of the body."""
         ...
 
     def end(self) -> None:
-        """End the reply as complete."""
+        """Complete the reply."""
         ...
 
     def abort(self) -> None:
-        """Break the connection, so that the reply does not look complete."""
+        """Abort the connection, so that the caller does not take the reply for complete."""
         ...
 
     def set_flow_control(self, pause: Callable[[], None], resume: Callable[[], None]) -> None:
-        """Name what is to be called when the caller reads too slowly, and when it has caught up."""
+        """Set the callbacks for a caller that reads too slowly, and for one that has caught up."""
         ...
 
 
 class CallFailure(StrEnum):
-    """Why a call ended without a whole reply."""
+    """Why a call ended without a complete reply."""
 
     NOT_SENT = "not_sent"
-    """No connection: the endpoint certainly has nothing of it."""
+    """No connection was made; the endpoint certainly received nothing of the call."""
     REFUSED = "refused"
-    """The same, since nothing listens at its address: its process has ended."""
+    """As `NOT_SENT`, with the connection refused: the endpoint's process has exited."""
     BROKEN = "broken"
-    """It was sent, at least in part, and may have run."""
+    """The call was sent, at least in part, and may have run."""
 
 
 class ListenerStatus(StrEnum):
-    """What a connection to an address told of the process there."""
+    """Whether a process listens at an address, as a connection attempt found."""
 
     YES = "yes"
     NO = "no"
     UNKNOWN = "unknown"
-    """Nothing answered in time."""
+    """The connection attempt timed out or was inconclusive."""
 
 
 class CallEvents(Protocol):
-    """What happens to a call; `on_end` or `on_failure` is the last."""
+    """Events of a call; `on_end` or `on_failure` is the last."""
 
     def on_head(self, head: ReplyHead) -> None:
-        """The head of the reply is there."""
+        """Receive the head of the reply."""
         ...
 
     def on_late_head(self, head: ReplyHead) -> None:
-        """The head of a reply to an earlier call is there, which nobody waits for any more."""
+        """Receive the head of a reply to an earlier call whose reply is no longer awaited."""
         ...
 
     def on_data(self, data: bytes) -> None:
-        """More of the body is there."""
+        """Receive the next part of the body."""
         ...
 
     def on_end(self) -> None:
-        """The reply is complete."""
+        """Receive the end of the reply, which is now complete."""
         ...
 
     def on_failure(self, failure: CallFailure, detail: str) -> None:
-        """There will be no whole reply."""
+        """Receive the reason why the reply will not be completed."""
         ...
 
 
 class RunningCall(Protocol):
-    """A call that was sent to an endpoint."""
+    """A call in progress at an endpoint."""
 
     def cancel(self) -> None:
-        """Break the connection, so that the endpoint stops; no event follows."""
+        """Abort the connection, so that the endpoint stops; no event follows."""
         ...
 
     def detach(self) -> None:
-        """Read the reply to its end and drop it, to keep the connection; no event follows."""
+        """Read and discard the rest of the reply to keep the connection; no event follows."""
         ...
 
     def pause(self) -> None:
-        """Read nothing more for now."""
+        """Stop reading the reply until `resume` is called."""
         ...
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read the reply."""
         ...
 
 
 @dataclass(slots=True)
 class EndpointCall:
-    """What is sent to an endpoint.
+    """A request to an endpoint.
 
     Attributes
     ----------
-    is_once : bool
-        Whether it must not run twice: only a connection that is surely open is used for it.
+    is_non_repeatable : bool
+        Whether the call must not run twice. Such a call uses only a connection that is certainly
+        open.
     """
 
     call_id: str
@@ -173,31 +174,31 @@
 
 
 class EndpointPort(Protocol):
-    """Calls endpoints over connections that it keeps."""
+    """Calls endpoints over persistent connections."""
 
     def send(self, address: str, call: EndpointCall, events: CallEvents) -> RunningCall:
-        """Send a call to ``IP:PORT``; events come later, never from within."""
+        """Send a call to ``IP:PORT``; no event is delivered before this method returns."""
         ...
 
     def check(self, address: str, on_found: Callable[[ListenerStatus], None]) -> None:
-        """Find out whether a process listens at ``IP:PORT``; the answer comes later."""
+        """Check whether a process listens at ``IP:PORT``; the result goes to ``on_found`` later."""
         ...
 
     def close_idle(self, address: str) -> None:
-        """Close the kept connections to an address."""
+        """Close the idle persistent connections to an address."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class CallMetadata:
-    """What the router itself says to the endpoint with a call.
+    """Metadata that the router adds to a call.
 
     Attributes
     ----------
     deadline_s : float
-        How long the endpoint may work on it.
+        Seconds that the endpoint may spend on the call.
     incarnation : str
-        Another incarnation at the address refuses the call.
+        Incarnation of the endpoint that the call is meant for; any other at the address refuses it.
     """
 
     deadline_s: float
@@ -209,14 +210,14 @@
 
 
 class WirePort(Protocol):
-    """The headers that callers, routers and endpoints exchange."""
+    """Encodes and decodes the headers that callers, routers and endpoints exchange."""
 
     def read_request(self, raw: RawRequest) -> CallerRequest:
         """Decode a request; raises `BadAskError`."""
         ...
 
     def call_headers(self, req: CallerRequest, metadata: CallMetadata) -> HeaderList:
-        """Return all headers of a call."""
+        """Return all headers of a call to an endpoint."""
         ...
 
     def read_reply(self, status: int, headers: HeaderList) -> ReplyHead:
@@ -224,13 +225,13 @@
         ...
 
     def refusal_headers(self, call_id: str | None, retry_after_s: float | None) -> HeaderList:
-        """Return the headers of an answer of the router's own."""
+        """Return the headers of an answer that the router gives itself."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class FeedRecord(Generic[Value]):
-    """A record of a keyed stream; ``value`` is None where the key was dropped."""
+    """A record of a keyed stream; ``value`` is None if the key was deleted."""
 
     key: str
     value: Value | None
@@ -242,12 +243,13 @@
 
     Attributes
     ----------
-    proved_s : float or None
-        What was acknowledged before then is in it, or was before it; the time of the call if None.
-    pause_s : float or None
-        How long the next call is put off, if not as long as usual.
-    was_away : bool
-        Whether the store had been away when a peer read this.
+    as_of_s : float or None
+        Time on the monotonic clock up to which the reader is current: every write that the store
+        acknowledged earlier is in this batch or precedes it. None stands for the time of the call.
+    next_call_delay_s : float or None
+        Seconds to wait before the next call; None for the usual delay.
+    is_after_outage : bool
+        Whether a peer read the records just after an outage of the store.
     """
 
     records: tuple[FeedRecord[Value], ...]
@@ -260,13 +262,13 @@
 class FeedPort(Protocol[Value]):
     """A keyed stream of the platform's store, decoded.
 
-    Both calls raise `LogUnavailableError` where the store does not answer, `LogBrokenOffError`
-    where an answer was not completed, and `since` also `LogTrimmedError`. A record that does not
-    validate is logged with its place and left out.
+    Both calls raise `LogUnavailableError` if the store does not answer and `LogBrokenOffError` if
+    an answer was not completed; `since` also raises `LogTrimmedError`. A record that does not
+    validate is logged with its position and left out.
     """
 
     async def newest(self, timeout_s: float) -> FeedBatch[Value]:
-        """Return the newest record of every key, and an offset from which nothing is missed."""
+        """Return the newest record of every key, and an offset to read on from without a gap."""
         ...
 
     async def since(
@@ -276,17 +278,17 @@
         timeout_s: float,
         on_response_start: OnResponseStart = do_nothing,
     ) -> FeedBatch[Value]:
-        """Return the records from an offset on, as soon as there is one or the wait is over.
+        """Return the records from an offset on, once there is one or ``wait_s`` has passed.
 
         Parameters
         ----------
         offset : int
         wait_s : float
-            How long the store may hold the call.
+            Seconds for which the store may hold the call.
         timeout_s : float
-            A call has failed whose answer begins so much later.
+            Seconds after ``wait_s`` by which the answer must have started; else the call fails.
         on_response_start : callable
-            Called as soon as it is known that there are records; the rest of them may take long.
+            Called as soon as it is known that there are records, which may take long to arrive.
         """
         ...
 
@@ -296,10 +298,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredStatus:
-    """What stands in the store on roll-outs."""
+    """The states of roll-outs in the store."""
 
     states: dict[str, tuple[str, RolloutState]]
-    """Target and state, by service."""
+    """Target and state of each service's roll-out."""
     end: int
 
 
@@ -311,12 +313,12 @@
         ...
 
     async def write(self, service: str, target: str, state: RolloutState, end: int) -> bool:
-        """Write a state unless anything was written since ``end``; return whether it was done.
+        """Write a state unless anything was written since ``end``; return whether it was written.
 
         Raises
         ------
         LogAnswerLostError
-            It may have been written.
+            The state may have been written.
         LogUnavailableError
             Nothing was written.
         """
@@ -325,16 +327,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredHold:
-    """A request that is held, as the store keeps it.
+    """A held request, as the store keeps it.
 
     Attributes
     ----------
     key : str
-    place : str
-        A service and version that endpoints ran which ended under it.
+    service_version : str
+        Service and version of the endpoints that crashed while they ran the request.
     lifetimes : tuple of str
-        Of these endpoints.
+        Lifetimes of these endpoints.
     probes : int
+        Number of probes of the request that were let through.
     """
 
     key: str
@@ -344,35 +347,35 @@
 
 
 class HoldsPort(Protocol):
-    """The requests that are held, in the store; both raise `LogError` where it does not answer."""
+    """The held requests in the store; both calls raise `LogError` if it does not answer."""
 
     async def read(self) -> list[StoredHold]:
-        """Return all of them."""
+        """Return all held requests."""
         ...
 
     async def write(self, key: str, hold: StoredHold | None) -> None:
-        """Let one stand, or none under its key."""
+        """Write a held request under its key, or delete the key if ``hold`` is None."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A router that is alive as far as the store knows."""
+    """A live router according to the store."""
 
     name: str
     address: str
-    """``IP:PORT`` of its link."""
+    """``IP:PORT`` at which the router accepts its peers' messages."""
 
 
 class MembersPort(Protocol):
     """Membership of routers, kept by the store."""
 
     async def join(self, member: Member, ttl_s: float) -> int:
-        """Join or stay; return a number that changes with the membership."""
+        """Join, or renew the membership; return a number that changes with the list of members."""
         ...
 
     async def leave(self, member: Member) -> None:
-        """Leave."""
+        """Remove a member."""
         ...
 
     async def members(self) -> list[Member]:
--- a/umberhitch/ports/engine.py
+++ b/umberhitch/ports/engine.py
@@ -1,4 +1,4 @@
-"""Ports to what stands behind an agent: a model engine or a plain service."""
+"""Ports to the back end of an agent: a model engine or a plain service."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendCall:
-    """Work for the endpoint's engine or service."""
+    """A call to the endpoint's engine or service."""
 
     call_id: str
     target: str
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendText:
-    """More of the answer."""
+    """The next piece of the answer."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class BackendDone:
-    """The answer is whole."""
+    """The answer is complete."""
 
     usage: Usage
     finish_reason: str = "stop"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendFailed:
-    """The call may have run, in part or whole."""
+    """The call may have run, partly or completely."""
 
     reason: str
 
@@ -67,14 +67,14 @@
 
 
 class EventSink(Protocol):
-    """Receives the events of one call, the last of which is not a `BackendText`."""
+    """Receives the events of one call; the last event is never a `BackendText`."""
 
     def __call__(self, event: BackendEvent) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
 class BackendLoad:
-    """Load as the back end itself reports it, with a lag."""
+    """Load as reported by the back end itself, with a lag."""
 
     running: int
     queued: int
@@ -84,13 +84,13 @@
     """One model engine, or one replica of a plain service."""
 
     def start(self, call: BackendCall, sink: EventSink) -> None:
-        """Begin the call; its events go to ``sink``."""
+        """Start the call; its events go to ``sink``."""
         ...
 
     def load(self, target: str, token: int) -> Deferred[bool]:
-        """Load a version in place of what is served; the result is whether it was done."""
+        """Replace the served version by ``target``; the result is whether it was loaded."""
         ...
 
     def cancel(self, call_id: str) -> None:
-        """Stop the call if it is still running; its sink still gets a last event."""
+        """Stop the call if it is still running; its sink still receives a last event."""
         ...
--- a/umberhitch/ports/hosts.py
+++ b/umberhitch/ports/hosts.py
@@ -8,14 +8,14 @@
 
 
 class HostRole(StrEnum):
-    """What runs on a host."""
+    """The kind of process that runs on a host."""
 
     ROUTER = "router"
     AGENT = "agent"
 
 
 class HostState(StrEnum):
-    """What the platform believes of a host; it learns late."""
+    """State of a host as the platform lists it, with a lag."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -29,19 +29,19 @@
     role: HostRole
     zone: str
     address: str
-    """``IP:PORT`` of the process's link."""
+    """``IP:PORT`` at which the process accepts its peers' messages."""
     state: HostState = HostState.LIVE
 
 
 class HostListPort(Protocol):
-    """The lagging list of live and leaving hosts."""
+    """The platform's list of live and leaving hosts, which lags behind."""
 
     async def hosts(self) -> list[Host]:
-        """Return the list as the platform has it now.
+        """Return the current list of the platform.
 
         Raises
         ------
         OSError
-            If the list cannot be had.
+            If the list cannot be read.
         """
         ...
--- a/umberhitch/ports/link.py
+++ b/umberhitch/ports/link.py
@@ -8,27 +8,28 @@
 __all__ = ["LinkPort", "Receiver"]
 
 Receiver = Callable[[str, list[Message]], None]
-"""Called with the sender's name and its messages."""
+"""Called with the name of the sender and its messages."""
 
 
 class LinkPort(Protocol):
-    """Sends messages to peers by name; any may be lost, repeated, late or out of order."""
+    """Sends messages to peers by name; any may be lost, duplicated, delayed or reordered."""
 
     def send(self, peer: str, message: Message, is_deferrable: bool = False) -> None:
-        """Queue a message; messages to one peer share frames.
+        """Queue a message; messages to the same peer share frames.
 
-        A patient message waits a few milliseconds for others; any other takes along what waits.
+        A deferrable message waits a few milliseconds for others to share its frame. Any other
+        message is sent at once, along with the messages that wait.
         """
         ...
 
     def connect(self, peer: str, address: str) -> None:
-        """Make the peer reachable at ``IP:PORT``; a new address replaces the old one."""
+        """Set the address of the peer, ``IP:PORT``; a new address replaces the old one."""
         ...
 
     def disconnect(self, peer: str) -> None:
-        """Forget the peer."""
+        """Remove the peer."""
         ...
 
     def listen(self, receiver: Receiver) -> None:
-        """Deliver what arrives to ``receiver``."""
+        """Deliver incoming messages to ``receiver``."""
         ...
--- a/umberhitch/ports/log.py
+++ b/umberhitch/ports/log.py
@@ -14,11 +14,11 @@
     Attributes
     ----------
     first : int
-        Lowest offset that the service still retains.
+        Lowest offset that the service retains.
     end : int
-        Offset that the next appended record will get.
+        Offset of the next record to be appended.
     records : tuple of (int, bytes)
-        Offset and content, in offset order.
+        Offset and content of each record, in the order of offsets.
     """
 
     first: int
@@ -37,12 +37,12 @@
         LogUnavailableError
             Nothing was appended.
         LogAnswerLostError
-            Whether the group was appended is not known.
+            It is unknown whether the group was appended.
         """
         ...
 
     async def read(self, stream: str, start: int, limit: int, wait_s: float) -> LogBatch:
-        """Return records from offset ``start``, waiting up to ``wait_s`` for the first.
+        """Return the records from offset ``start``; wait up to ``wait_s`` seconds for the first.
 
         Raises
         ------
--- a/umberhitch/ports/rating.py
+++ b/umberhitch/ports/rating.py
@@ -6,10 +6,10 @@
 
 
 class RatingPort(Protocol):
-    """Rates answers, late, and not always."""
+    """Rates answers; a rating may come late or be missing."""
 
     async def rate(self, target: str, klass: str, question: str, answer: str) -> float | None:
-        """Return a rating between 0 and 1, or None where there is none.
+        """Return a rating between 0 and 1, or None if the answer was not rated.
 
         Raises
         ------
--- a/umberhitch/tasks/direct/tests/test_crash_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_crash_mutations.py
@@ -73,7 +73,7 @@
 
 def _blame_all(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(CrashRecord, "is_refuted", lambda self, key, crash: False)
-    patch.setattr(CrashRecord, "note_end", lambda self, key, at_s: False)
+    patch.setattr(CrashRecord, "note_run_end", lambda self, key, at_s: False)
 
 
 @pytest.mark.parametrize(
--- a/umberhitch/tasks/direct/tests/test_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_fuzz.py
@@ -265,7 +265,7 @@
             assert each.ask.reply.is_over, each
         for router in self.world.routers.values():
             assert not router.gateway.running
-            assert router.gateway.placement.own() == {}
+            assert router.gateway.placement.own_load() == {}
         self.no_request_runs_twice_that_must_not()
         self.answers_are_whole_or_do_not_look_so()
         self.keys_that_were_taken_away_have_no_effect()
--- a/umberhitch/tasks/direct/tests/test_lifetimes.py
+++ b/umberhitch/tasks/direct/tests/test_lifetimes.py
@@ -29,11 +29,11 @@
     assert ask.status == 200
     placement = router.gateway.placement
     before = router.gateway.directory.get("e1").lifetime
-    assert [*placement._seen[before].cached] == [("", "aa")]
+    assert [*placement._observed[before].cached] == [("", "aa")]
     _restart(world)
     after = router.gateway.directory.get("e1").lifetime
-    assert before not in placement._seen
-    assert after not in placement._seen or not placement._seen[after].cached
+    assert before not in placement._observed
+    assert after not in placement._observed or not placement._observed[after].cached
 
 
 def test_kept_connections_to_the_process_before_are_closed():
@@ -51,7 +51,7 @@
     _restart(world)
     world.run(1.0)
     lifetime = router.gateway.directory.get("e1").lifetime
-    seen = router.gateway.placement._seen
+    seen = router.gateway.placement._observed
     assert list(seen) in ([], [lifetime])
     assert all(each.load is None for each in seen.values())
 
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -59,7 +59,9 @@
 
 
 def peers_do_not_end_it(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(AdvertisedLimits, "told_over", lambda self, name, age_s, now_s: LimitChange.NONE)
+    patch.setattr(
+        AdvertisedLimits, "apply_end_notice", lambda self, name, age_s, now_s: LimitChange.NONE
+    )
     return limits.test_it_ends_when_it_is_no_longer_named
 
 
@@ -72,7 +74,7 @@
     heard = SendGate.heard
 
     def hear_all(self: SendGate, endpoint: object, head: object) -> None:
-        clear = replace(head.signals.limit, is_unclear=False)
+        clear = replace(head.signals.limit, is_malformed=False)
         heard(self, endpoint, replace(head, signals=replace(head.signals, limit=clear)))
 
     patch.setattr(SendGate, "heard", hear_all)
@@ -91,22 +93,22 @@
 
 
 def a_list_is_never_kept(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(FleetShare, "knows_list", lambda self, now_s: self.is_settled)
+    patch.setattr(FleetShare, "has_router_list", lambda self, now_s: self.is_registered)
     return limits.test_without_the_store_half_of_it_is_still_used
 
 
 def a_list_is_kept_for_ever(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(fleet_share, "KEPT_LIST_S", float("inf"))
-    return core.test_a_router_without_a_seat_goes_by_its_last_list_for_a_minute_with_less
+    patch.setattr(fleet_share, "ROUTER_LIST_KEPT_S", float("inf"))
+    return core.test_an_unregistered_router_uses_its_last_list_for_a_minute_with_a_reduced_quota
 
 
 def a_lapsed_seat_counts_in_full(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(fleet_share, "LAPSED_SHARE", 1.0)
-    return core.test_a_router_without_a_seat_goes_by_its_last_list_for_a_minute_with_less
+    patch.setattr(fleet_share, "UNREGISTERED_SHARE", 1.0)
+    return core.test_an_unregistered_router_uses_its_last_list_for_a_minute_with_a_reduced_quota
 
 
 def standing_still_is_not_noticed(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(fleet_share, "LOOKED_S", float("inf"))
+    patch.setattr(fleet_share, "MAX_UPDATE_GAP_S", float("inf"))
     return limits.test_a_router_that_stood_still_sends_nothing_until_its_place_is_sure
 
 
@@ -121,13 +123,17 @@
 
 
 def a_limit_closes_the_endpoint(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(FleetShare, "wait_s", lambda self, lifetime, bound, now_s, kept=0: float("inf"))
+    patch.setattr(
+        FleetShare, "wait_s", lambda self, lifetime, bound, now_s, reserved=0: float("inf")
+    )
     return lambda: limits.test_it_is_kept_and_used_by_any_number_of_routers(6, 2.3)
 
 
 def nobody_looks_for_itself(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(AdvertisedLimits, "may_look", lambda self, limit, routers, jitter, now_s: False)
-    return core.test_one_that_may_not_send_looks_for_itself_after_a_minute_and_not_with_all_others
+    patch.setattr(
+        AdvertisedLimits, "may_recheck", lambda self, limit, routers, jitter, now_s: False
+    )
+    return core.test_a_router_that_is_no_sender_rechecks_after_a_minute_and_not_with_all_others
 
 
 MUTATIONS = (
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -60,15 +60,15 @@
 
     def whole_and_rest(self: EventSplitter, data: bytes) -> bytes:
         whole = feed(self, data)
-        rest, self._held = self._held, b""
+        rest, self._partial = self._partial, b""
         return whole + rest
 
     patch.setattr(EventSplitter, "feed", whole_and_rest)
 
 
 def send_to_draining_endpoints(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Endpoint, "takes_work", lambda self, now_s: True)
-    patch.setattr(Members, "all", lambda self: list(self.by_incarnation.values()))
+    patch.setattr(Endpoint, "accepts_work", lambda self, now_s: True)
+    patch.setattr(Members, "in_service", lambda self: list(self.by_incarnation.values()))
 
 
 def never_give_up(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/tests/test_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_sharing.py
@@ -148,7 +148,7 @@
     assert sent == [("r9", ViewReply(1, 1, False))]
     view.on_ask("r9", ViewRequest(2, 1, "registry", 99, 0.5))
     world.run(0.6)
-    assert sent[1][1].is_known
+    assert sent[1][1].is_offset_known
     assert sent[1][1].held_s >= 0.5
 
 
--- a/umberhitch/tasks/direct/tests/test_word_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_word_fuzz.py
@@ -94,16 +94,16 @@
 
 
 def leaving_is_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ClosedEndpoints, "take_leaving", lambda self, *word: False)
+    patch.setattr(ClosedEndpoints, "apply_draining", lambda self, *word: False)
 
 
 def rests_are_cut_short(patch: pytest.MonkeyPatch) -> None:
     """Nor is an endpoint that has refused any less attractive, which would hide it mostly."""
-    patch.setattr(Placement, "refused", lambda self, placed, now_s: None)
+    patch.setattr(Placement, "note_refused", lambda self, placed, now_s: None)
     take = ClosedEndpoints.apply_backoff
     patch.setattr(
         ClosedEndpoints,
-        "take_rest",
+        "apply_backoff",
         lambda self, lifetime, rest_s, *more: take(self, lifetime, rest_s / 3, *more),
     )
 
--- a/umberhitch/tasks/direct/tests/test_word_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_word_mutations.py
@@ -19,12 +19,12 @@
 
 
 def nobody_hears_that_it_leaves(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(ClosedEndpoints, "take_leaving", lambda self, *word: False)
+    patch.setattr(ClosedEndpoints, "apply_draining", lambda self, *word: False)
     return words.test_an_engine_that_says_it_leaves_gets_nothing_though_the_registry_has_it_as_ready
 
 
 def nobody_hears_that_it_rests(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(ClosedEndpoints, "take_rest", lambda self, *word: False)
+    patch.setattr(ClosedEndpoints, "apply_backoff", lambda self, *word: False)
     return words.test_engines_that_refuse_with_a_time_get_nothing_within_it
 
 
@@ -34,12 +34,12 @@
 
 
 def the_directory_ignores_it(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Directory, "withdraw", lambda self, lifetime: None)
+    patch.setattr(Directory, "mark_draining", lambda self, lifetime: None)
     return words.test_the_home_of_a_prompt_moves_on_at_every_router
 
 
 def it_is_forgotten_when_the_entry_lapses(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(closed, "LEAVING_KEPT_S", -1.0)
+    patch.setattr(closed, "DRAINING_KEPT_S", -1.0)
     return words.test_it_stands_though_the_entry_lapses_and_comes_back
 
 
@@ -55,7 +55,7 @@
     heard = SendGate.heard
 
     def hear_all(self: SendGate, lifetime: str, head: object) -> None:
-        object.__setattr__(head, "is_elsewhere", False)
+        object.__setattr__(head, "is_wrong_incarnation", False)
         heard(self, lifetime, head)
 
     patch.setattr(SendGate, "heard", hear_all)
@@ -82,7 +82,7 @@
 
 
 def calls_that_end_with_it_are_blamed(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Endpoint, "is_leaving", property(lambda self: False))
+    patch.setattr(Endpoint, "is_draining", property(lambda self: False))
     return words.test_requests_are_not_blamed_when_an_endpoint_that_said_it_leaves_ends_under_them
 
 
@@ -93,7 +93,7 @@
         self.backoffs.pop(lifetime, None)
         return take(self, lifetime, *word)
 
-    patch.setattr(ClosedEndpoints, "take_rest", take_last)
+    patch.setattr(ClosedEndpoints, "apply_backoff", take_last)
     return words.test_the_latest_end_of_several_rests_counts_and_a_refusal_without_a_time_ends_none
 
 
@@ -101,7 +101,7 @@
     def forget(self: ClosedEndpoints, lifetime: str, now_s: float) -> bool:
         return self.backoffs.pop(lifetime, None) is not None
 
-    patch.setattr(ClosedEndpoints, "answered", forget)
+    patch.setattr(ClosedEndpoints, "note_answer", forget)
     return words.test_the_latest_end_of_several_rests_counts_and_a_refusal_without_a_time_ends_none
 
 
@@ -114,7 +114,7 @@
     )
     patch.setattr(
         ClosedEndpoints,
-        "take_rest",
+        "apply_backoff",
         lambda self, lifetime, rest_s, routers, now_s: shared.backoffs.setdefault(
             lifetime, closed.EndpointBackoff(now_s, now_s + rest_s, now_s + rest_s)
         )
@@ -129,7 +129,7 @@
 
 
 def all_routers_return_at_once(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(closed, "RETURN_EACH_S", 0.0)
+    patch.setattr(closed, "RESUME_SPACING_S", 0.0)
     return pairs.test_routers_return_one_after_the_other
 
 
@@ -167,12 +167,12 @@
 
 
 def all_routers_have_one_order(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Members, "_place", lambda self, endpoint: 0)
+    patch.setattr(Members, "_order_key", lambda self, endpoint: 0)
     return herding.test_the_usual_endpoints_of_routers_differ
 
 
 def refusals_count_for_nothing(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Placement, "refused", lambda self, placed, now_s: None)
+    patch.setattr(Placement, "note_refused", lambda self, placed, now_s: None)
     return herding.test_callers_are_served_while_two_thirds_refuse_fast
 
 
--- a/umberhitch/tasks/direct/tests/test_zone_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_zone_fuzz.py
@@ -191,7 +191,7 @@
 
 
 def nobody_is_out(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Members, "_is_listed", lambda self, endpoint: True)
+    patch.setattr(Members, "_is_in_service", lambda self, endpoint: True)
 
 
 def every_router_sends(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -17,7 +17,7 @@
 
 
 def nobody_is_out(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Members, "_is_listed", lambda self, endpoint: True)
+    patch.setattr(Members, "_is_in_service", lambda self, endpoint: True)
     return lambda: zones.test_no_kind_of_call_goes_to_a_zone_that_is_out(zones._first_choice)
 
 
@@ -27,7 +27,7 @@
     def keep_homes(self: Members) -> None:
         self.cached_in_service = None
 
-    patch.setattr(Members, "zones_changed", keep_homes)
+    patch.setattr(Members, "invalidate", keep_homes)
 
     def known_homes_move() -> None:
         world = zones._world()
@@ -67,12 +67,12 @@
 
 
 def entries_are_not_believed(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Directory, "_note_cold", lambda self, endpoint, now_s: None)
+    patch.setattr(Directory, "_update_cold", lambda self, endpoint, now_s: None)
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
 def zones_return_warm(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Endpoint, "guard", lambda self, until_s, source: None)
+    patch.setattr(Endpoint, "presume_cold", lambda self, until_s, source: None)
     return cold.test_endpoints_of_a_zone_that_is_back_are_not_rushed
 
 
--- a/umberhitch/wire/__init__.py
+++ b/umberhitch/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The protocol between routers and agents: messages and frames."""
+"""The protocol between routers, and between routers and agents: messages and frames."""
 
 from umberhitch.wire import _messages
 from umberhitch.wire._codec import MAX_FRAME_BYTES, Frame, decode_frame, encode_frame
--- a/umberhitch/wire/_codec.py
+++ b/umberhitch/wire/_codec.py
@@ -1,4 +1,4 @@
-"""Frames: how messages travel between two processes of umberhitch."""
+"""Encoding and decoding of frames, which carry messages between two processes of umberhitch."""
 
 from collections.abc import Sequence
 
@@ -11,13 +11,13 @@
 __all__ = ["MAX_FRAME_BYTES", "Frame", "decode_frame", "encode_frame"]
 
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-"""A larger frame is dropped unread."""
+"""Larger frames are rejected without decoding."""
 
 OLDEST_VERSION = max(1, PROTOCOL_VERSION - 1)
 
 
 class Frame(Struct, frozen=True, array_like=True):
-    """One transmission: the sender's name, then its messages in order."""
+    """The protocol version, the name of the sender, and its messages in order."""
 
     version: int
     sender: str
@@ -25,7 +25,7 @@
 
 
 class _Header(Struct, frozen=True, array_like=True):
-    """The part of a frame that every version shares."""
+    """The part of a frame that is common to all protocol versions."""
 
     version: int
 
@@ -36,17 +36,17 @@
 
 
 def encode_frame(sender: str, messages: Sequence[Message]) -> bytes:
-    """Return a frame that holds the messages."""
+    """Return the messages encoded as a frame."""
     return _encoder.encode(Frame(PROTOCOL_VERSION, sender, list(messages)))
 
 
 def decode_frame(data: bytes) -> Frame:
-    """Return the frame in ``data``.
+    """Return the frame decoded from ``data``.
 
     Raises
     ------
     FrameError
-        If the frame is too large, malformed, or of a version that is not spoken here.
+        If the frame is too large, malformed, or of a protocol version that is not supported.
     """
     if len(data) > MAX_FRAME_BYTES:
         raise FrameError(f"frame of {len(data)} bytes is over {MAX_FRAME_BYTES}")
--- a/umberhitch/wire/_messages.py
+++ b/umberhitch/wire/_messages.py
@@ -1,7 +1,7 @@
-"""Messages between routers and agents.
+"""Messages between routers, and between routers and agents.
 
-Every message is a compact array; its first item is the tag. Fields are only ever added at the end
-and with a default, so that two adjacent versions of umberhitch understand each other.
+Every message is encoded as an array whose first item is the tag. Fields are only added at the end
+and with a default, so that adjacent versions of umberhitch are compatible.
 """
 
 from enum import StrEnum
@@ -63,7 +63,7 @@
 
 
 class AttemptId(Struct, frozen=True, array_like=True):
-    """Identity of one attempt: which incarnation of which router issued it, and its number."""
+    """Identifier of an attempt: the router and incarnation that issued it, and its number."""
 
     router: str
     incarnation: int
@@ -74,18 +74,18 @@
 
 
 URGENT_PRIORITY = 2
-"""Attempts of this priority or a lower number are urgent: they overtake the others' queue."""
+"""Attempts with this or a lower priority number are urgent: they overtake all others in a queue."""
 
 
 class EndpointState(StrEnum):
-    """What an agent says of its endpoint."""
+    """State of an endpoint as reported by its agent."""
 
     READY = "ready"
     DRAINING = "leaving"
 
 
 class Usage(Struct, frozen=True, array_like=True):
-    """What one attempt used."""
+    """Token counts of one attempt."""
 
     input_tokens: int = 0
     output_tokens: int = 0
@@ -93,7 +93,7 @@
 
 
 class UsageRecord(Struct, frozen=True, array_like=True):
-    """What one request used; the request id makes it count once."""
+    """Usage of one request; the request id ensures that it is counted once."""
 
     request: str
     customer: str
@@ -105,18 +105,18 @@
 
 
 class EngineWork(Struct, frozen=True, array_like=True, tag="e"):
-    """A call of a model engine."""
+    """A call to a model engine."""
 
     messages: list[dict[str, Any]]
-    """As the caller sent them: ``role``, ``content`` and what else belongs to a message."""
+    """Messages as the caller sent them: ``role``, ``content`` and further keys."""
     max_tokens: int
     temperature: float = 1.0
     prefix: str = ""
-    """Hash of the prompt's stable prefix, for cache affinity; empty if unknown."""
+    """Hash of the prompt's stable prefix, for prefix cache affinity; empty if unknown."""
 
 
 class ServiceWork(Struct, frozen=True, array_like=True, tag="s"):
-    """A call of a plain service."""
+    """A call to a plain service."""
 
     method: str
     path: str
@@ -125,20 +125,20 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag="hello"):
-    """A router introduces itself to an agent, and repeats it as its heartbeat."""
+    """Introduction of a router to an agent, repeated as the router's heartbeat."""
 
     router: str
     incarnation: int
     zone: str
     revision: int
     token: int = -1
-    """Newest fencing token that the router has read of."""
+    """Newest fencing token that the router knows; -1 for none."""
     heartbeat_interval_s: float = 1.0
-    """How often the router wants to hear of the agent, unless something has changed."""
+    """Interval in seconds at which the agent sends heartbeats while nothing changes."""
 
 
 class Start(Struct, frozen=True, array_like=True, tag="start"):
-    """Run an attempt. Sent again until `AttemptAccepted`; the agent's ledger makes it idempotent."""
+    """Run an attempt; resent until `AttemptAccepted`, idempotent through the agent's ledger."""
 
     attempt: AttemptId
     agent_incarnation: int
@@ -148,59 +148,60 @@
     work: EngineWork | ServiceWork
     priority: int
     deadline_s: float
-    """Time left at the moment of sending."""
+    """Seconds left until the deadline at the time of sending."""
     revision: int
-    """Revision of configuration that the decision was based on."""
+    """Revision of the configuration on which the routing decision was based."""
     session: str = ""
-    """Session token, where the version is pinned by one."""
+    """Session token, if one pins the version."""
     klass: str = ""
 
 
 class Cancel(Struct, frozen=True, array_like=True, tag="cancel"):
-    """Refuse the attempt for ever if it has not begun; else stop it."""
+    """Stop the attempt, or permanently refuse it if it has not started."""
 
     attempt: AttemptId
     agent_incarnation: int
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag="fetch"):
-    """Send the answer again from an offset, with its end if it has ended."""
+    """Resend the answer from an offset on, including its end if the attempt has ended."""
 
     attempt: AttemptId
     offset: int
     customer: str
-    """The agent answers only if the attempt is this customer's."""
+    """Customer of the request; the agent replies only if the attempt belongs to this customer."""
 
 
 class UsageConfirmation(Struct, frozen=True, array_like=True, tag="billed"):
-    """The usage records of these requests were seen in the log."""
+    """Confirmation that the usage records of these requests were read back from the log."""
 
     requests: list[str]
 
 
 class ConfigRecords(Struct, frozen=True, array_like=True, tag="config"):
-    """Records of the configuration stream that follow ``previous``."""
+    """Records of the configuration stream after the revision ``previous``."""
 
     previous: int
     records: list[tuple[int, bytes]]
 
 
 class ConfigSnapshot(Struct, frozen=True, array_like=True, tag="snapshot"):
-    """A whole fold, for a process that is too far behind for records."""
+    """A complete configuration, for a process that lags too far behind to catch up by records."""
 
     data: bytes
 
 
 class ConfigRequest(Struct, frozen=True, array_like=True, tag="need"):
-    """Send the configuration after this revision."""
+    """Request for the configuration after a revision."""
 
     revision: int
 
 
 class Withdrawal(Struct, frozen=True, array_like=True, tag="stop"):
-    """Give this version no new work, ahead of the record in the log.
+    """Send no new work to a version, in advance of the record in the log.
 
-    It holds until the configuration says something newer of the version, or rejects the change.
+    The withdrawal is in force until the configuration has a newer entry for the version, or rejects
+    the change.
     """
 
     version: str
@@ -208,7 +209,7 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag="beat"):
-    """An agent's heartbeat: who it is, what it serves, how loaded it is."""
+    """Heartbeat of an agent: its identity, the targets that it serves, and its load."""
 
     endpoint: str
     incarnation: int
@@ -221,11 +222,11 @@
     slots: int
     is_loading: bool = False
     urgent: int = 0
-    """Attempts running and queued that are urgent; see `URGENT_PRIORITY`."""
+    """Number of urgent attempts, running and queued; see `URGENT_PRIORITY`."""
 
 
 class AttemptAccepted(Struct, frozen=True, array_like=True, tag="taken"):
-    """The attempt is in the ledger and will be answered."""
+    """The attempt is in the agent's ledger and will be answered."""
 
     attempt: AttemptId
 
@@ -239,7 +240,7 @@
 
 
 class Chunk(Struct, frozen=True, array_like=True, tag="chunk"):
-    """A piece of an answer, at an offset counted in characters."""
+    """A piece of an answer; its offset is in characters."""
 
     attempt: AttemptId
     offset: int
@@ -247,7 +248,7 @@
 
 
 class Finished(Struct, frozen=True, array_like=True, tag="done"):
-    """The answer is whole at ``length`` characters."""
+    """The answer is complete; its length is in characters."""
 
     attempt: AttemptId
     length: int
@@ -259,7 +260,7 @@
 
 
 class Failed(Struct, frozen=True, array_like=True, tag="failed"):
-    """The attempt began and did not end well: what it did is not known."""
+    """The attempt started and failed; its effects are unknown."""
 
     attempt: AttemptId
     reason: str
@@ -267,23 +268,23 @@
 
 
 class UsageHandover(Struct, frozen=True, array_like=True, tag="handover"):
-    """Usage records whose router has not confirmed them in time."""
+    """Usage records that their router has not confirmed in time."""
 
     records: list[UsageRecord]
 
 
 class LoadOrder(Struct, frozen=True, array_like=True, tag="order"):
-    """The holder of a lease orders an endpoint to load a version; sent again until it serves it."""
+    """Order of a lease holder to load a version; resent until the endpoint serves the version."""
 
     token: int
-    """Fencing token: the offset of the holder's acquisition."""
+    """Fencing token: the log offset at which the holder acquired the lease."""
     order_id: str
-    """Id of the order; the same order is carried out once."""
+    """Identifier of the order, by which it is executed only once."""
     target: str
 
 
 class LoadOrderReply(Struct, frozen=True, array_like=True, tag="ordered"):
-    """Whether the agent carries an order out."""
+    """Whether the agent executes an order."""
 
     order_id: str
     is_accepted: bool
@@ -291,19 +292,19 @@
 
 
 class Evidence(Struct, frozen=True, array_like=True, tag="evidence"):
-    """What a router has observed of one version and class since it last said so."""
+    """Observations of one version and class that a router has made since its last report."""
 
     version: str
     klass: str
     ratings: list[int]
-    """In steps of one two-hundredth."""
+    """Ratings in units of 1/200."""
     done: int
     failed: int
     latencies_ms: list[int]
 
 
 class BurnSlice(Struct, frozen=True, array_like=True):
-    """What one router counted of a customer and class in one minute."""
+    """Counts of one router for a customer and class in one minute, whose number is ``slot``."""
 
     slot: int
     customer: str
@@ -311,37 +312,37 @@
     good: int
     bad: int
     histogram: bytes
-    """Latencies in ms, as an encoded HDR histogram; empty where they are not kept."""
+    """Encoded HDR histogram of latencies in milliseconds; empty if latencies are not kept."""
 
 
 class BurnRequest(Struct, frozen=True, array_like=True, tag="burn?"):
-    """Send what you counted; asked when an operator wants to know, not all the time."""
+    """Request for a router's counts, sent only when an operator asks for them."""
 
     request_id: int
 
 
 class BurnReply(Struct, frozen=True, array_like=True, tag="burn"):
-    """A router's whole book."""
+    """All counts that a router keeps."""
 
     request_id: int
     slices: list[BurnSlice]
 
 
 class RouterDigest(Struct, frozen=True, array_like=True, tag="digest"):
-    """A router tells another how far it has come, and asks for what it lacks."""
+    """Gossip between routers: the sender's revision, and thereby a request for what it lacks."""
 
     router: str
     incarnation: int
     zone: str
     revision: int
     agents: dict[str, list[int]] = {}
-    """For each availability zone: agents known, and the lowest revision among them."""
+    """Number of known agents and their lowest revision, by availability zone."""
     config_age_s: float = -1.0
-    """How old the router's configuration may be at most; negative if it cannot say."""
+    """Upper bound of the age of the router's configuration in seconds; negative if unknown."""
 
 
 class RouteCounts(Struct, frozen=True, array_like=True):
-    """Answers that one router has counted of one version of a roll-out, on one route."""
+    """Answers counted by one router for one version of a roll-out, on one route."""
 
     is_target: bool
     route: str
@@ -349,46 +350,46 @@
     failed: int
     slow: int
     endpoints: list[str]
-    """On which failed, broken or slow answers came."""
+    """Endpoints that gave failed, broken or slow answers."""
     broken: int = 0
     paced: int = 0
-    """Answers of which the pace is known."""
+    """Number of answers whose inter-token latency is known."""
 
 
 class CanaryReport(Struct, frozen=True, array_like=True):
-    """How one router sees a roll-out on the direct path."""
+    """State of a roll-out on the direct path as one router observes it."""
 
     service: str
     target: str
     elapsed_s: float
     state: str
     counts: list[RouteCounts]
-    """Since the start of the roll-out, so that a lost report is made good by the next."""
+    """Counts since the start of the roll-out, so that the next report makes up for a lost one."""
     kept_on_old: list[str] = []
-    """Sessions that stay on the old version, though their share would send them to the new one."""
+    """Sessions kept on the old version although the canary share would move them to the new one."""
     was_fully_loaded: bool = False
-    """Whether an endpoint of the new version was loaded fully."""
+    """Whether an endpoint of the new version has been under full load."""
     moved_to_new: list[str] = []
-    """Sessions that are on the new version, though their share would send them to the old one."""
+    """Sessions on the new version although the canary share would keep them on the old one."""
     stored_state: str = ""
-    """State that stands in the store, as the sender read or wrote it; empty where it did not."""
+    """State in the store as the sender last read or wrote it; empty if it has done neither."""
 
 
 class CanaryUpdate(Struct, frozen=True, array_like=True, tag="moved"):
-    """What all routers are to know of a roll-out at once; the reports repeat it."""
+    """Changes of a roll-out that are sent to all routers at once; the reports repeat them."""
 
     service: str
     target: str
     moved_to_new: list[str]
-    """Sessions that have just moved to the new version; others would send them to the old one."""
+    """Sessions newly moved to the new version, which other routers would send to the old one."""
     kept_on_old: list[str] = []
-    """Sessions on the old version that others would send to the new one, in the first half."""
+    """Sessions on the old version that others would move to the new one in the first half."""
     stored_state: str = ""
-    """State that stands in the store, as the sender read or wrote it."""
+    """State in the store as the sender last read or wrote it; empty if it has done neither."""
 
 
 class CrashNotice(Struct, frozen=True, array_like=True):
-    """An endpoint ended while a request was under way there; ages are from the sending on."""
+    """Crash of an endpoint while it ran a request; ages are in seconds at the time of sending."""
 
     key: str
     lifetime: str
@@ -399,26 +400,26 @@
 
 
 class RunEndNotice(Struct, frozen=True, array_like=True):
-    """A run of a request ended with its endpoint alive, so long ago."""
+    """End of a run of a request on an endpoint that stayed alive, ``age_s`` seconds ago."""
 
     key: str
     age_s: float
 
 
 class ProbeNotice(Struct, frozen=True, array_like=True):
-    """A probe of a request that is held was let through, so long ago."""
+    """Start of a probe of a held request, ``age_s`` seconds ago."""
 
     key: str
     service_version: str
     probes: int
-    """How many that made."""
+    """Number of probes of the request so far, this one included."""
     age_s: float
     lease_s: float
-    """How long from now on it may last; 0 where it is over."""
+    """Seconds for which the probe may still run; 0 if it has ended."""
 
 
 class CrashUpdate(Struct, frozen=True, array_like=True, tag="crash"):
-    """What routers tell each other of crashes; any part may come again, late or never."""
+    """Gossip between routers on crashes; any part may be duplicated, delayed or lost."""
 
     crashes: list[CrashNotice] = []
     run_ends: list[RunEndNotice] = []
@@ -426,40 +427,40 @@
 
 
 class LimitNotice(Struct, frozen=True, array_like=True):
-    """A rate that an endpoint named so long ago, or that it named none any more."""
+    """Rate limit that an endpoint set, or its removal, ``age_s`` seconds ago."""
 
     lifetime: str
     age_s: float
     rate: Annotated[float, Meta(ge=0)] | None
-    """Requests a second from all routers together; None where the limit was over."""
+    """Requests per second from all routers together; None if the limit was removed."""
 
 
 class DrainNotice(Struct, frozen=True, array_like=True):
-    """That an endpoint said so long ago that it leaves."""
+    """Announcement of an endpoint, ``age_s`` seconds ago, that it is draining."""
 
     lifetime: str
     age_s: float
 
 
 class EndpointUpdate(Struct, frozen=True, array_like=True, tag="limit"):
-    """What routers tell each other of what endpoints say; may come again, late, never."""
+    """Gossip between routers on signals of endpoints; may be duplicated, delayed or lost."""
 
     limits: list[LimitNotice] = []
     draining: list[DrainNotice] = []
 
 
 class ProbeRequest(Struct, frozen=True, array_like=True, tag="probe?"):
-    """May the sender run a request that is held?"""
+    """Request of a router for permission to run a held request as a probe."""
 
     request_id: int
     key: str
     service_version: str
     lease_s: float
-    """How long the run lasts at most."""
+    """Maximum duration of the run in seconds."""
 
 
 class ProbeReply(Struct, frozen=True, array_like=True, tag="probe"):
-    """The answer to a `ProbeRequest`."""
+    """The reply to a `ProbeRequest`."""
 
     request_id: int
     is_granted: bool
@@ -467,54 +468,54 @@
 
 
 class EndpointUse(Struct, frozen=True, array_like=True):
-    """What one router has under way on one endpoint."""
+    """Requests of one router in progress on one endpoint."""
 
     lifetime: str
-    """Its lifetime: what is told of one that is over concerns no other."""
+    """Lifetime of the endpoint, so that a late report does not apply to a later lifetime."""
     running: int
     reading_s: float
-    """Prompts that are not read yet, in seconds of the endpoint's time."""
+    """Prefill work not yet done, in seconds of the endpoint's time."""
     rank: int = -1
-    """Largest model that reads a long prompt there, the smallest of a route 0; -1 for none."""
+    """Rank of the largest model in a long prefill, 0 for a route's smallest model; -1 for none."""
 
 
 class ViewRequest(Struct, frozen=True, array_like=True, tag="view?"):
-    """What has changed in a stream of the platform's store? Held while nothing has."""
+    """Request for changes in a stream of the platform's store; held until there is a change."""
 
     request_id: int
     incarnation: int
-    """Of the router that asks."""
+    """Incarnation of the requesting router."""
     stream: str
     offset: int
     hold_s: float
     is_held_during_outage: bool = False
-    """Whether to hold it also where the store cannot be read: the asker cannot either."""
+    """Whether to hold the request in an outage of the store, unreadable to the sender too."""
 
 
 class ViewReply(Struct, frozen=True, array_like=True, tag="view"):
-    """What a router knows of a stream, as its own reads told it."""
+    """A router's view of a stream, from its own reads of the store."""
 
     request_id: int
     incarnation: int
     is_offset_known: bool
-    """Whether it can tell what came after the offset."""
+    """Whether the router knows what follows the requested offset."""
     end: int = -1
     age_s: float = 0.0
-    """How old its view is."""
+    """Age of the view in seconds."""
     held_s: float = 0.0
-    """How long it held the ask, before it looked at its view."""
+    """Seconds for which the request was held before the view was read."""
     is_after_outage: bool = False
-    """Whether the store had been away when it told this."""
+    """Whether the records were read just after an outage of the store."""
     records: list[tuple[str, EndpointEntry | None]] = []
-    """Changed entries of endpoints; None where one is gone."""
+    """Changed entries of endpoints; None for a deleted entry."""
     packed: list[tuple[str, bytes]] = []
-    """What operators wrote, see `pack_value`. With none the store is to be read up to the end."""
+    """Operators' records, see `pack_value`. If empty, the store must be read up to ``end``."""
     members: list[tuple[str, str]] = []
     """Names and addresses of routers."""
 
 
 class PeerReport(Struct, frozen=True, array_like=True, tag="peer"):
-    """What a router of the direct path tells the others, several times a second."""
+    """State of a router of the direct path, sent to all others several times a second."""
 
     router: str
     incarnation: int
@@ -522,10 +523,10 @@
     uses: list[EndpointUse]
     canaries: list[CanaryReport]
     retry_after_s: float = 0.0
-    """Time until the router takes streams again; 0 where it does now."""
+    """Seconds until the router accepts streams again; 0 while it accepts them."""
     zone: str = ""
     link_mbps: float = 0.0
-    """Bandwidth of its link; 0 where it is not told."""
+    """Bandwidth of the router's link in megabits per second; 0 if unknown."""
 
 
 Message = (
--- a/umberhitch/wire/_packing.py
+++ b/umberhitch/wire/_packing.py
@@ -1,4 +1,4 @@
-"""What operators wrote, packed for other routers: a change of the configuration, or an order."""
+"""Compressed encoding of operators' records, such as configuration changes, for other routers."""
 
 import zlib
 
@@ -10,13 +10,13 @@
 __all__ = ["pack_value", "unpack_value"]
 
 COMPRESSION_LEVEL = 1
-"""Of zlib: the fastest; a change of 1,400 routes, 0.3 MB as text, becomes some 25 kB in 3 ms."""
+"""Fastest level of zlib: 1,400 routes, 0.3 MB as text, are compressed to some 25 kB in 3 ms."""
 MAX_UNPACKED_BYTES = 8 * 1024 * 1024
-"""What is larger when unpacked is not taken."""
+"""Values that are larger when decompressed are rejected."""
 
 
 class _Packed(Struct, frozen=True, array_like=True):
-    """One of them; none for a record that is gone."""
+    """At most one of the values; all fields are None for a deleted record."""
 
     change: DocumentChange | None = None
     order: RolloutOrder | None = None
@@ -27,7 +27,7 @@
 
 
 def pack_value(value: DocumentChange | RolloutOrder | ZoneOut | None) -> bytes:
-    """Return a value as bytes."""
+    """Return a value encoded and compressed."""
     match value:
         case DocumentChange():
             packed = _Packed(change=value)
@@ -41,12 +41,12 @@
 
 
 def unpack_value(data: bytes) -> DocumentChange | RolloutOrder | ZoneOut | None:
-    """Return the value in bytes.
+    """Return the value decoded from ``data``.
 
     Raises
     ------
     FrameError
-        If they are malformed, or hold too much.
+        If ``data`` is malformed, or too large when decompressed.
     """
     unpacker = zlib.decompressobj()
     try:
--- a/umberhitch/wire/tests/test_older_peers.py
+++ b/umberhitch/wire/tests/test_older_peers.py
@@ -1,4 +1,4 @@
-"""Peers that run the version before, while routers are replaced one by one."""
+"""Compatibility with peers of the previous version during a rolling upgrade."""
 
 from dataclasses import dataclass
 
@@ -19,52 +19,57 @@
     state: EndpointState
 
 
-class _OldReply(Struct, frozen=True, array_like=True, tag="view"):
-    ask: int
+class _OldViewReply(Struct, frozen=True, array_like=True, tag="view"):
+    request_id: int
     incarnation: int
-    is_known: bool
+    is_offset_known: bool
     end: int = -1
     age_s: float = 0.0
     held_s: float = 0.0
-    was_away: bool = False
+    is_after_outage: bool = False
     records: list[tuple[str, _OldEntry | None]] = []
     packed: list[tuple[str, bytes]] = []
 
 
-class _OldMoved(Struct, frozen=True, array_like=True, tag="moved"):
+class _OldCanaryUpdate(Struct, frozen=True, array_like=True, tag="moved"):
     service: str
     target: str
-    sessions: list[str]
+    moved_to_new: list[str]
 
 
 class _OldFrame(Struct, frozen=True, array_like=True):
     version: int
     sender: str
-    messages: list[_OldReply | _OldMoved]
+    messages: list[_OldViewReply | _OldCanaryUpdate]
 
 
 OLD_ENTRY = _OldEntry("e1", "svc", "10.0.0.1:80", "a", "v1", 8, EndpointState.READY)
 
 
-def test_an_older_peer_reads_entries_that_say_when_they_were_born():
+def test_an_older_peer_decodes_entries_with_a_start_time():
     entry = EndpointEntry("e1", "svc", "10.0.0.1:80", "a", "v1", 8, EndpointState.READY, 1000)
     frame = encode_frame("r1", [ViewReply(1, 1, True, records=[("e1", entry)])])
     old = msgpack.decode(frame, type=_OldFrame)
     assert old.messages[0].records == [("e1", OLD_ENTRY)]
 
 
-def test_an_older_peer_reads_only_the_sessions_that_moved():
+def test_an_older_peer_decodes_only_the_moved_sessions():
     frame = encode_frame("r1", [CanaryUpdate("svc", "v2", ["s1"], ["s2"], "completed")])
-    assert msgpack.decode(frame, type=_OldFrame).messages == [_OldMoved("svc", "v2", ["s1"])]
+    assert msgpack.decode(frame, type=_OldFrame).messages == [_OldCanaryUpdate("svc", "v2", ["s1"])]
 
 
-def test_what_an_older_peer_says_is_read():
+def test_messages_of_an_older_peer_are_decoded():
     frame = msgpack.encode(
         _OldFrame(
-            1, "r1", [_OldReply(1, 1, True, records=[("e1", OLD_ENTRY)]), _OldMoved("s", "v", [])]
+            1,
+            "r1",
+            [
+                _OldViewReply(1, 1, True, records=[("e1", OLD_ENTRY)]),
+                _OldCanaryUpdate("s", "v", []),
+            ],
         )
     )
-    reply, moved = decode_frame(frame).messages
+    reply, update = decode_frame(frame).messages
     assert reply.records[0][1].born is None
-    assert moved == CanaryUpdate("s", "v", [], [])
+    assert update == CanaryUpdate("s", "v", [], [])
     assert not isinstance(reply, PeerReport)
--- a/umberhitch/wire/tests/test_packing.py
+++ b/umberhitch/wire/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""What operators wrote survives packing; what is malformed or too large is reported."""
+"""Packed values are restored; malformed or too large ones raise `FrameError`."""
 
 from zlib import compress
 
@@ -14,17 +14,17 @@
 
 
 @pytest.mark.parametrize("value", [None, RolloutOrder("svc", "v2", 20.0), diff_documents(OLD, NEW)])
-def test_a_value_survives_packing(value):
+def test_a_packed_value_is_restored(value):
     assert unpack_value(pack_value(value)) == value
 
 
 @pytest.mark.parametrize("data", [b"", b"x", compress(b"x"), pack_value(None)[:-6]])
-def test_malformed_bytes_are_reported(data):
+def test_malformed_bytes_are_rejected(data):
     with pytest.raises(FrameError):
         unpack_value(data)
 
 
-def test_what_is_too_large_is_not_unpacked(monkeypatch):
-    monkeypatch.setattr(_packing, "MOST_BYTES", 100)
+def test_a_value_over_the_limit_is_rejected(monkeypatch):
+    monkeypatch.setattr(_packing, "MAX_UNPACKED_BYTES", 100)
     with pytest.raises(FrameError):
         unpack_value(pack_value(diff_documents(OLD, NEW)))
