--- a/benchmarks/decide.py
+++ b/benchmarks/decide.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from umberhitch.config import Fold, encode_record
-from umberhitch.core.choice import choose_endpoint, choose_version, permitted_versions
 from umberhitch.core.outcome import NotRun
+from umberhitch.core.selection import choose_endpoint, choose_version, permitted_versions
 from umberhitch.ports import Host, HostRole
 from umberhitch.tasks.fleet import Fleet
 from umberhitch.testing import make_change, make_version
--- a/benchmarks/exposure.py
+++ b/benchmarks/exposure.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from umberhitch.config import VersionState
-from umberhitch.core.evidence import EvidenceBook, EvidenceLimits, Judge
+from umberhitch.core.evidence import EvidenceBuffer, EvidenceLimits, VersionJudge
 from umberhitch.fakes import EnginePace
 from umberhitch.testing import World, WorldSettings, make_change, make_version
 
@@ -140,13 +140,15 @@
     """Count the alarms on good versions, each with a day of answers."""
     alarms = 0
     for seed in range(GOOD_VERSIONS):
-        rng, judge = Random(seed), Judge()
+        rng, judge = Random(seed), VersionJudge()
         for _ in range(ANSWERS_A_DAY // 50):
-            book = EvidenceBook()
+            book = EvidenceBuffer()
             for _ in range(50):
-                book.ended(GOOD, "default", rng.random() >= 0.01, rng.lognormvariate(0.0, 0.3))
-                book.rated(GOOD, "default", rng.betavariate(QUALITY * 8, (1 - QUALITY) * 8))
-            raised = [judge.take(evidence) for evidence in book.take()]
+                book.record_attempt(
+                    GOOD, "default", rng.random() >= 0.01, rng.lognormvariate(0.0, 0.3)
+                )
+                book.record_rating(GOOD, "default", rng.betavariate(QUALITY * 8, (1 - QUALITY) * 8))
+            raised = [judge.observe(evidence) for evidence in book.flush()]
             if any(raised):
                 alarms += 1
                 break
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import Any
 
-from umberhitch.core.subsets import Subsets, bucket_of
+from umberhitch.core.subsets import AgentSubset, bucket_of
 from umberhitch.ports import Host, HostRole
 
 __all__ = ["run"]
@@ -33,7 +33,7 @@
 
 def by_rendezvous(routers: dict[str, str], agents: list[Host], name: str) -> set[str]:
     """Return the agents of one router."""
-    subsets = Subsets(name)
+    subsets = AgentSubset(name)
     subsets.set_routers(routers)
     return {agent.name for agent in agents if subsets.serves(agent)}
 
--- a/umberhitch/adapters/caller_api.py
+++ b/umberhitch/adapters/caller_api.py
@@ -19,8 +19,8 @@
 )
 from umberhitch.adapters.http_server import send_json
 from umberhitch.config import Customer, RequestClass, Service
-from umberhitch.core.choice import choose_version, permitted_versions
 from umberhitch.core.outcome import Done, NotRun, Reason
+from umberhitch.core.selection import choose_version, permitted_versions
 from umberhitch.core.session import Session, read_session_token, sign_session_token
 from umberhitch.errors import ConfigError, SessionError
 from umberhitch.tasks.asks import Ask
--- a/umberhitch/adapters/operator_api.py
+++ b/umberhitch/adapters/operator_api.py
@@ -384,7 +384,7 @@
         async for offset, data in self._records(BILLING_STREAM, self._bills.next_offset):
             self._bills.apply(offset, data)
         rows = {name: asdict(bill) for name, bill in sorted(self._bills.bills.items())}
-        return send_json(request, 200, {"bills": rows, "repeated_records": self._bills.repeats})
+        return send_json(request, 200, {"bills": rows, "repeated_records": self._bills.duplicates})
 
 
 def _decoded(request: Any) -> Any:
--- a/umberhitch/core/admission.py
+++ b/umberhitch/core/admission.py
@@ -5,7 +5,7 @@
 from umberhitch.config import Limits
 from umberhitch.core.outcome import NotRun, Reason
 
-__all__ = ["Admission"]
+__all__ = ["AdmissionControl"]
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     in_flight: int = 0
 
 
-class Admission:
+class AdmissionControl:
     """Owns the counters of each customer at one router.
 
     Parameters
@@ -46,7 +46,7 @@
         account.in_flight += 1
         return None
 
-    def leave(self, customer: str) -> None:
+    def release(self, customer: str) -> None:
         """Count a request out."""
         account = self._accounts.get(customer)
         if account is not None:
--- a/umberhitch/core/answer.py
+++ b/umberhitch/core/answer.py
@@ -37,7 +37,7 @@
         return bool(self._pending) or (self.end is not None and self.length < self.end)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every character up to the end is there."""
         return self.end is not None and self.length == self.end
 
--- a/umberhitch/core/attempt.py
+++ b/umberhitch/core/attempt.py
@@ -8,7 +8,13 @@
 
 from umberhitch.wire import AttemptId, Failed, Finished, Refused, Start
 
-__all__ = ["AttemptEntry", "AttemptLife", "AttemptResult", "AttemptState", "make_attempt_life"]
+__all__ = [
+    "AttemptEntry",
+    "AttemptLifecycle",
+    "AttemptResult",
+    "AttemptState",
+    "make_attempt_lifecycle",
+]
 
 AttemptResult = Finished | Failed | Refused
 
@@ -23,7 +29,7 @@
     REFUSED = "refused"
 
 
-TERMINAL = frozenset({AttemptState.DONE, AttemptState.FAILED, AttemptState.REFUSED})
+TERMINAL_STATES = frozenset({AttemptState.DONE, AttemptState.FAILED, AttemptState.REFUSED})
 
 
 @dataclass(slots=True)
@@ -42,7 +48,7 @@
 
     attempt: AttemptId
     start: Start | None
-    due_s: float = 0.0
+    deadline_s: float = 0.0
     """When the caller's deadline passes, on the agent's clock."""
     state: AttemptState = AttemptState.QUEUED
     parts: list[str] = field(default_factory=list)
@@ -53,7 +59,7 @@
     @property
     def is_terminal(self) -> bool:
         """Whether nothing can happen to the attempt any more."""
-        return self.state in TERMINAL
+        return self.state in TERMINAL_STATES
 
     def add_text(self, text: str) -> int:
         """Append to the answer and return the offset at which the text stands."""
@@ -69,10 +75,10 @@
         return self.parts[0][offset:] if self.parts else ""
 
 
-class AttemptLife(Protocol):
+class AttemptLifecycle(Protocol):
     """Inputs of the machine."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The back end is given the call."""
 
     def complete(self, result: Finished) -> None:
@@ -85,7 +91,7 @@
         """The attempt has not run and will not."""
 
 
-_builder = TypeMachineBuilder(AttemptLife, AttemptEntry)
+_builder = TypeMachineBuilder(AttemptLifecycle, AttemptEntry)
 _queued = _builder.state("queued")
 _running = _builder.state("running")
 _done = _builder.state("done")
@@ -93,31 +99,31 @@
 _refused = _builder.state("refused")
 
 
-@_queued.upon(AttemptLife.begin).to(_running)
-def _begin(life: AttemptLife, entry: AttemptEntry) -> None:
+@_queued.upon(AttemptLifecycle.start).to(_running)
+def _begin(life: AttemptLifecycle, entry: AttemptEntry) -> None:
     entry.state = AttemptState.RUNNING
 
 
-@_queued.upon(AttemptLife.refuse).to(_refused)
-def _refuse_queued(life: AttemptLife, entry: AttemptEntry, result: Refused) -> None:
+@_queued.upon(AttemptLifecycle.refuse).to(_refused)
+def _refuse_queued(life: AttemptLifecycle, entry: AttemptEntry, result: Refused) -> None:
     entry.state, entry.result = AttemptState.REFUSED, result
 
 
-@_running.upon(AttemptLife.refuse).to(_refused)
-def _refuse_running(life: AttemptLife, entry: AttemptEntry, result: Refused) -> None:
+@_running.upon(AttemptLifecycle.refuse).to(_refused)
+def _refuse_running(life: AttemptLifecycle, entry: AttemptEntry, result: Refused) -> None:
     """The back end itself said that it did not run the call."""
     entry.state, entry.result = AttemptState.REFUSED, result
 
 
-@_running.upon(AttemptLife.complete).to(_done)
-def _complete(life: AttemptLife, entry: AttemptEntry, result: Finished) -> None:
+@_running.upon(AttemptLifecycle.complete).to(_done)
+def _complete(life: AttemptLifecycle, entry: AttemptEntry, result: Finished) -> None:
     entry.state, entry.result = AttemptState.DONE, result
 
 
-@_running.upon(AttemptLife.fail).to(_failed)
-def _fail(life: AttemptLife, entry: AttemptEntry, result: Failed) -> None:
+@_running.upon(AttemptLifecycle.fail).to(_failed)
+def _fail(life: AttemptLifecycle, entry: AttemptEntry, result: Failed) -> None:
     entry.state, entry.result = AttemptState.FAILED, result
 
 
-make_attempt_life = _builder.build()
+make_attempt_lifecycle = _builder.build()
 """Build the machine of one `AttemptEntry`."""
--- a/umberhitch/core/billing.py
+++ b/umberhitch/core/billing.py
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.next_offset = 0
-        self.repeats = 0
+        self.duplicates = 0
         self.malformed = 0
         self.bills: dict[str, Bill] = {}
         self.records: dict[str, UsageRecord] = {}
@@ -65,7 +65,7 @@
             self.malformed += 1
             return
         if record.request in self.records:
-            self.repeats += 1
+            self.duplicates += 1
             return
         self.records[record.request] = record
         self._count(record)
--- a/umberhitch/core/burn.py
+++ b/umberhitch/core/burn.py
@@ -19,8 +19,8 @@
 
 __all__ = [
     "WINDOWS_S",
-    "Alert",
-    "BurnBook",
+    "AlertRule",
+    "BurnCounter",
     "BurnRow",
     "Severity",
     "burn_rows",
@@ -30,9 +30,9 @@
 SLICE_S = 60
 """Length of the slices that windows are made of."""
 WINDOWS_S = (300, 1800, 3600, 21600)
-LOWEST_MS = 1
-HIGHEST_MS = 3_600_000
-DIGITS = 2
+MIN_LATENCY_MS = 1
+MAX_LATENCY_MS = 3_600_000
+SIGNIFICANT_DIGITS = 2
 
 
 class Severity(StrEnum):
@@ -44,19 +44,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Alert:
+class AlertRule:
     """Burn rates over a long and a short window that together raise an alert."""
 
     severity: Severity
-    long_s: int
-    short_s: int
-    rate: float
+    long_window_s: int
+    short_window_s: int
+    min_rate: float
 
 
-ALERTS = (
-    Alert(Severity.PAGE, 3600, 300, 14.4),
-    Alert(Severity.PAGE, 21600, 1800, 6.0),
-    Alert(Severity.TICKET, 21600, 3600, 1.0),
+ALERT_RULES = (
+    AlertRule(Severity.PAGE, 3600, 300, 14.4),
+    AlertRule(Severity.PAGE, 21600, 1800, 6.0),
+    AlertRule(Severity.TICKET, 21600, 3600, 1.0),
 )
 """The workbook's, but for the three-day window, which is longer than routers remember."""
 
@@ -81,7 +81,7 @@
     # Imported only where latencies are kept: not by routers of the direct path, which start fast.
     from hdrh.histogram import HdrHistogram
 
-    return HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
+    return HdrHistogram(MIN_LATENCY_MS, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
@@ -93,7 +93,9 @@
     def note_latency(self, latency_s: float) -> None:
         if self.histogram is None:
             self.histogram = _make_histogram()
-        self.histogram.record_value(max(LOWEST_MS, min(HIGHEST_MS, round(latency_s * 1000))))
+        self.histogram.record_value(
+            max(MIN_LATENCY_MS, min(MAX_LATENCY_MS, round(latency_s * 1000)))
+        )
 
     def add_latencies(self, encoded: bytes) -> None:
         if encoded:
@@ -102,7 +104,7 @@
             self.histogram.decode_and_add(encoded)
 
 
-class BurnBook:
+class BurnCounter:
     """What one router has counted, by minute.
 
     Parameters
@@ -114,10 +116,10 @@
         and minute.
     """
 
-    def __init__(self, keep_s: int = max(WINDOWS_S), has_latencies: bool = True) -> None:
+    def __init__(self, retention_s: int = max(WINDOWS_S), has_latencies: bool = True) -> None:
         self._has_latencies = has_latencies
         self._slices: deque[tuple[int, dict[tuple[str, str], _Cell]]] = deque(
-            maxlen=keep_s // SLICE_S + 1
+            maxlen=retention_s // SLICE_S + 1
         )
 
     def count(
@@ -196,8 +198,11 @@
         for histogram in histograms:
             total.add(histogram)
     severity = Severity.NONE
-    for alert in ALERTS:
-        if rates[alert.long_s] >= alert.rate and rates[alert.short_s] >= alert.rate:
+    for alert in ALERT_RULES:
+        if (
+            rates[alert.long_window_s] >= alert.min_rate
+            and rates[alert.short_window_s] >= alert.min_rate
+        ):
             severity = alert.severity
             break
     bad = sum(cell.bad for cell in cells.values())
--- a/umberhitch/core/detector.py
+++ b/umberhitch/core/detector.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-__all__ = ["BETS", "Detector", "Reference"]
+__all__ = ["BETS", "Baseline", "Detector"]
 
 BETS = (0.15, 0.3, 0.5, 0.7, 0.9)
 """Bets as fractions of the largest that is safe; small ones find small changes."""
 
-MAX_VALUE = 1e200
+MAX_SUM = 1e200
 
 
 @dataclass
@@ -50,22 +50,22 @@
             value = self._sums[index] + 1.0
             for observed in badness:
                 value *= 1.0 + bet / self.limit * (observed - self.limit)
-            self._sums[index] = min(MAX_VALUE, max(0.0, value))
+            self._sums[index] = min(MAX_SUM, max(0.0, value))
         return self.is_alarmed
 
     @property
-    def evidence(self) -> float:
+    def e_value(self) -> float:
         """The e-value by which the version is bad: the mean over the bets."""
         return sum(self._sums) / len(self._sums)
 
     @property
     def is_alarmed(self) -> bool:
         """Whether the evidence has reached ``1 / alpha``."""
-        return self.evidence * self.alpha >= 1.0
+        return self.e_value * self.alpha >= 1.0
 
 
 @dataclass
-class Reference:
+class Baseline:
     """The mean of what is known to be good, learned from the first observations.
 
     Attributes
@@ -74,18 +74,18 @@
         Observations before it is used.
     """
 
-    needed: int = 100
+    min_observations: int = 100
     count: int = 0
     total: float = 0.0
 
-    def learn(self, values: Iterable[float]) -> None:
+    def add(self, values: Iterable[float]) -> None:
         """Take observations, until enough are known."""
         for value in values:
-            if self.count < self.needed:
+            if self.count < self.min_observations:
                 self.count += 1
                 self.total += value
 
     @property
     def mean(self) -> float | None:
         """The mean, or None while too little is known."""
-        return self.total / self.count if self.count >= self.needed else None
+        return self.total / self.count if self.count >= self.min_observations else None
--- a/umberhitch/core/evidence.py
+++ b/umberhitch/core/evidence.py
@@ -8,10 +8,17 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from umberhitch.core.detector import Detector, Reference
+from umberhitch.core.detector import Baseline, Detector
 from umberhitch.wire import Evidence
 
-__all__ = ["FALLBACK_SIGNALS", "Alarm", "EvidenceBook", "EvidenceLimits", "Judge", "Signal"]
+__all__ = [
+    "FALLBACK_SIGNALS",
+    "Alarm",
+    "EvidenceBuffer",
+    "EvidenceLimits",
+    "Signal",
+    "VersionJudge",
+]
 
 MAX_SAMPLES = 256
 """Ratings of one version and class that a router holds until it next passes them on."""
@@ -57,7 +64,7 @@
     failure_factor: float = 3.0
     slow_factor: float = 1.5
     slow_share: float = 0.25
-    reference: int = 200
+    baseline_observations: int = 200
     alpha: float = 1e-6
 
 
@@ -80,7 +87,7 @@
     latencies_ms: list[int] = field(default_factory=list)
 
 
-class EvidenceBook:
+class EvidenceBuffer:
     """What one router has observed and not yet passed on."""
 
     def __init__(self) -> None:
@@ -89,7 +96,7 @@
     def _tally(self, version: str, klass: str) -> _Tally:
         return self._tallies.setdefault((version, klass), _Tally())
 
-    def ended(self, version: str, klass: str, is_done: bool, latency_s: float) -> None:
+    def record_attempt(self, version: str, klass: str, is_done: bool, latency_s: float) -> None:
         """Note how an attempt ended."""
         tally = self._tally(version, klass)
         if is_done:
@@ -99,13 +106,13 @@
         else:
             tally.failed += 1
 
-    def rated(self, version: str, klass: str, rating: float) -> None:
+    def record_rating(self, version: str, klass: str, rating: float) -> None:
         """Note a rating between 0 and 1."""
         tally = self._tally(version, klass)
         if len(tally.ratings) < MAX_SAMPLES:
             tally.ratings.append(round(min(1.0, max(0.0, rating)) * RATING_STEPS))
 
-    def take(self) -> list[Evidence]:
+    def flush(self) -> list[Evidence]:
         """Return and forget what was observed."""
         tallies, self._tallies = self._tallies, {}
         return [
@@ -118,15 +125,15 @@
 class _Watch:
     """What a judge holds of one version and class."""
 
-    ratings: Reference
-    failures: Reference
-    latency: Reference
+    ratings: Baseline
+    failures: Baseline
+    latency: Baseline
     rating_detector: Detector | None = None
     failure_detector: Detector | None = None
     latency_detector: Detector | None = None
 
 
-class Judge:
+class VersionJudge:
     """Owns the detectors of one router.
 
     Parameters
@@ -138,16 +145,16 @@
         self._limits = limits or EvidenceLimits()
         self._watches: dict[tuple[str, str], _Watch] = {}
         self._previous: dict[str, str] = {}
-        self.counts: dict[str, int] = {}
+        self.attempt_counts: dict[str, int] = {}
         """Ended attempts seen of each version."""
-        self.rated: dict[str, int] = {}
+        self.rating_counts: dict[str, int] = {}
         """Ratings seen of each version."""
 
-    def compare_with(self, version: str, previous: str) -> None:
+    def set_predecessor(self, version: str, previous: str) -> None:
         """Take the reference of a version from the one that it replaces."""
         self._previous[version] = previous
 
-    def forget(self, version: str) -> None:
+    def reset(self, version: str) -> None:
         """Begin anew with a version."""
         for key in [key for key in self._watches if key[0] == version]:
             del self._watches[key]
@@ -155,8 +162,8 @@
     def _watch(self, version: str, klass: str) -> _Watch:
         key = (version, klass)
         if key not in self._watches:
-            needed = self._limits.reference
-            self._watches[key] = _Watch(Reference(needed), Reference(needed), Reference(needed))
+            needed = self._limits.baseline_observations
+            self._watches[key] = _Watch(Baseline(needed), Baseline(needed), Baseline(needed))
         return self._watches[key]
 
     def _reference(self, version: str, klass: str) -> _Watch:
@@ -166,12 +173,12 @@
         other = self._watches.get((previous, klass)) if previous else None
         return other if other is not None and other.failures.mean is not None else own
 
-    def take(self, evidence: Evidence) -> Alarm | None:
+    def observe(self, evidence: Evidence) -> Alarm | None:
         """Take one router's evidence; returns the first alarm that it raises."""
         version, klass = evidence.version, evidence.klass
         ended = evidence.done + evidence.failed
-        self.counts[version] = self.counts.get(version, 0) + ended
-        self.rated[version] = self.rated.get(version, 0) + len(evidence.ratings)
+        self.attempt_counts[version] = self.attempt_counts.get(version, 0) + ended
+        self.rating_counts[version] = self.rating_counts.get(version, 0) + len(evidence.ratings)
         own = self._watch(version, klass)
         reference = self._reference(version, klass)
         badness = [1.0 - rating / RATING_STEPS for rating in evidence.ratings]
@@ -182,9 +189,9 @@
             or self._judge_failures(own, reference, failures)
             or self._judge_latency(own, reference, latencies_s)
         )
-        own.ratings.learn(badness)
-        own.failures.learn(failures)
-        own.latency.learn(latencies_s)
+        own.ratings.add(badness)
+        own.failures.add(failures)
+        own.latency.add(latencies_s)
         if alarm is None:
             return None
         return Alarm(version, klass, alarm[0], alarm[1])
--- a/umberhitch/core/fencing.py
+++ b/umberhitch/core/fencing.py
@@ -20,7 +20,7 @@
         self._opens_s = opens_s
         self.token = NO_TOKEN
 
-    def hear(self, token: int) -> None:
+    def observe(self, token: int) -> None:
         """Learn of a token."""
         self.token = max(self.token, token)
 
--- a/umberhitch/core/ledger.py
+++ b/umberhitch/core/ledger.py
@@ -8,11 +8,24 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from umberhitch.core.attempt import AttemptEntry, AttemptLife, AttemptResult, make_attempt_life
+from umberhitch.core.attempt import (
+    AttemptEntry,
+    AttemptLifecycle,
+    AttemptResult,
+    make_attempt_lifecycle,
+)
 from umberhitch.core.outcome import Reason
 from umberhitch.wire import AttemptId, Failed, Finished, Refused, Start
 
-__all__ = ["Admission", "BelowFloor", "Fresh", "Full", "Ledger", "LedgerLimits", "Repeated"]
+__all__ = [
+    "AdmitResult",
+    "BelowFloor",
+    "Existing",
+    "Inserted",
+    "Ledger",
+    "LedgerFull",
+    "LedgerLimits",
+]
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,20 +42,20 @@
         Routers whose floors are remembered.
     """
 
-    entries: int = 4096
-    buffered_chars: int = 2_000_000
-    routers: int = 4096
+    max_entries: int = 4096
+    max_buffered_chars: int = 2_000_000
+    max_routers: int = 4096
 
 
 @dataclass(frozen=True, slots=True)
-class Fresh:
+class Inserted:
     """The attempt was not known and is now in the ledger, queued."""
 
     entry: AttemptEntry
 
 
 @dataclass(frozen=True, slots=True)
-class Repeated:
+class Existing:
     """The attempt is in the ledger already."""
 
     entry: AttemptEntry
@@ -54,11 +67,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
+class LedgerFull:
     """Every entry of the ledger is live; the attempt is not taken."""
 
 
-Admission = Fresh | Repeated | BelowFloor | Full
+AdmitResult = Inserted | Existing | BelowFloor | LedgerFull
 
 
 @dataclass(slots=True)
@@ -78,7 +91,7 @@
     def __init__(self, limits: LedgerLimits | None = None) -> None:
         self._limits = limits or LedgerLimits()
         self._entries: OrderedDict[AttemptId, AttemptEntry] = OrderedDict()
-        self._lives: dict[AttemptId, AttemptLife] = {}
+        self._lives: dict[AttemptId, AttemptLifecycle] = {}
         self._floors: OrderedDict[str, _Floor] = OrderedDict()
         self._ended: OrderedDict[AttemptId, AttemptEntry] = OrderedDict()
         self._buffered = 0
@@ -87,7 +100,7 @@
         return len(self._entries)
 
     @property
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Attempts that have not ended."""
         return len(self._entries) - len(self._ended)
 
@@ -100,40 +113,40 @@
         """Return the entry of an attempt, if the ledger holds it."""
         return self._entries.get(attempt)
 
-    def admit(self, start: Start, due_s: float) -> Admission:
+    def admit(self, start: Start, deadline_s: float) -> AdmitResult:
         """Take an attempt into the ledger, unless it is there or was there."""
         entry = self._entries.get(start.attempt)
         if entry is not None:
-            return Repeated(entry)
+            return Existing(entry)
         if self._is_below_floor(start.attempt):
             return BelowFloor()
         if not self._make_room():
-            return Full()
-        return Fresh(self._insert(AttemptEntry(start.attempt, start, due_s)))
+            return LedgerFull()
+        return Inserted(self._insert(AttemptEntry(start.attempt, start, deadline_s)))
 
-    def tombstone(self, attempt: AttemptId) -> Admission:
+    def tombstone(self, attempt: AttemptId) -> AdmitResult:
         """Refuse for ever an attempt that has not arrived; otherwise return what is known."""
         entry = self._entries.get(attempt)
         if entry is not None:
-            return Repeated(entry)
+            return Existing(entry)
         if self._is_below_floor(attempt):
             return BelowFloor()
         if not self._make_room():
-            return Full()
+            return LedgerFull()
         entry = self._insert(AttemptEntry(attempt, None))
-        self.end(entry, Refused(attempt, Reason.CANCELLED))
-        return Fresh(entry)
+        self.record_result(entry, Refused(attempt, Reason.CANCELLED))
+        return Inserted(entry)
 
     def _insert(self, entry: AttemptEntry) -> AttemptEntry:
         self._entries[entry.attempt] = entry
-        self._lives[entry.attempt] = make_attempt_life(entry)
+        self._lives[entry.attempt] = make_attempt_lifecycle(entry)
         return entry
 
-    def begin(self, entry: AttemptEntry) -> None:
+    def record_start(self, entry: AttemptEntry) -> None:
         """Record that the back end is about to be given the call."""
-        self._lives[entry.attempt].begin()
+        self._lives[entry.attempt].start()
 
-    def end(self, entry: AttemptEntry, result: AttemptResult) -> None:
+    def record_result(self, entry: AttemptEntry, result: AttemptResult) -> None:
         """Record the last message on an attempt; raises ``automat.NoTransition`` on a second."""
         life = self._lives[entry.attempt]
         match result:
@@ -149,10 +162,10 @@
         self._trim_text()
 
     def _trim_text(self) -> None:
-        if self._buffered <= self._limits.buffered_chars:
+        if self._buffered <= self._limits.max_buffered_chars:
             return
         for entry in self._ended.values():
-            if self._buffered <= self._limits.buffered_chars:
+            if self._buffered <= self._limits.max_buffered_chars:
                 return
             if entry.parts:
                 self._buffered -= entry.length
@@ -160,7 +173,7 @@
                 entry.text_dropped = True
 
     def _make_room(self) -> bool:
-        while len(self._entries) >= self._limits.entries:
+        while len(self._entries) >= self._limits.max_entries:
             if not self._ended:
                 return False
             attempt, entry = self._ended.popitem(last=False)
@@ -177,7 +190,7 @@
         elif attempt.incarnation == floor.incarnation:
             floor.seq = max(floor.seq, attempt.seq)
         self._floors.move_to_end(attempt.router)
-        while len(self._floors) > self._limits.routers:
+        while len(self._floors) > self._limits.max_routers:
             self._floors.popitem(last=False)
 
     def _is_below_floor(self, attempt: AttemptId) -> bool:
--- a/umberhitch/core/queue.py
+++ b/umberhitch/core/queue.py
@@ -13,27 +13,27 @@
 from umberhitch.core.attempt import AttemptEntry
 from umberhitch.wire import AttemptId
 
-__all__ = ["Place", "WorkQueue"]
+__all__ = ["QueuePosition", "WorkQueue"]
 
 MAX_IDLE_CUSTOMERS = 1000
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class QueuePosition:
     """Where an attempt stands: a smaller one goes first."""
 
     priority: int
-    tag: float
+    start_tag: float
     """Virtual time at which its customer's turn comes."""
-    count: int
+    sequence: int
 
 
 class WorkQueue:
     """Attempts that wait for a slot; a lower priority number goes first."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[Place, AttemptId]] = []
-        self._members: dict[AttemptId, tuple[Place, AttemptEntry]] = {}
+        self._heap: list[tuple[QueuePosition, AttemptId]] = []
+        self._members: dict[AttemptId, tuple[QueuePosition, AttemptEntry]] = {}
         self._count = 0
         self._now: dict[int, float] = {}
         self._finish: dict[tuple[int, str], float] = {}
@@ -41,15 +41,17 @@
     def __len__(self) -> int:
         return len(self._members)
 
-    def place_for(self, priority: int, customer: str) -> Place:
+    def position_for(self, priority: int, customer: str) -> QueuePosition:
         """Return the place that a customer's next attempt would get."""
         now = self._now.get(priority, 0.0)
-        return Place(priority, max(now, self._finish.get((priority, customer), 0.0)), self._count)
+        return QueuePosition(
+            priority, max(now, self._finish.get((priority, customer), 0.0)), self._count
+        )
 
-    def push(self, place: Place, entry: AttemptEntry, customer: str, share: float) -> None:
+    def push(self, place: QueuePosition, entry: AttemptEntry, customer: str, share: float) -> None:
         """Add an attempt at the place that `place_for` gave."""
         self._count += 1
-        self._finish[(place.priority, customer)] = place.tag + 1.0 / share
+        self._finish[(place.priority, customer)] = place.start_tag + 1.0 / share
         self._members[entry.attempt] = (place, entry)
         heappush(self._heap, (place, entry.attempt))
         self._forget_idle()
@@ -71,10 +73,10 @@
             member = self._members.get(attempt)
             if member is not None and member[0] == place:
                 del self._members[attempt]
-                self._now[place.priority] = max(self._now.get(place.priority, 0.0), place.tag)
+                self._now[place.priority] = max(self._now.get(place.priority, 0.0), place.start_tag)
                 return member[1]
 
-    def last(self) -> tuple[Place, AttemptEntry] | None:
+    def last(self) -> tuple[QueuePosition, AttemptEntry] | None:
         """Return the member that would go last, with its place."""
         return max(self._members.values(), key=lambda member: member[0], default=None)
 
--- a/umberhitch/core/rollout.py
+++ b/umberhitch/core/rollout.py
@@ -17,30 +17,30 @@
 __all__ = [
     "EndpointView",
     "LoadEndpoint",
-    "RolloutLife",
+    "RolloutLifecycle",
     "RolloutView",
     "Step",
     "UpdatePlan",
     "is_restorable",
-    "make_rollout_life",
+    "make_rollout_lifecycle",
     "next_step",
-    "restored",
+    "restored_version",
 ]
 
-MAX_LOADS = 2
+MAX_CONCURRENT_LOADS = 2
 """Endpoints that load weights at once; the weight store is rate-limited."""
 
 
-class RolloutLife(Protocol):
+class RolloutLifecycle(Protocol):
     """Inputs of a roll-out's life cycle."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The first stage begins."""
 
     def hold(self) -> None:
         """Go no further for now."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Go on after a hold."""
 
     def finish(self) -> None:
@@ -55,39 +55,39 @@
     state: RolloutState
 
 
-_builder = TypeMachineBuilder(RolloutLife, _Cell)
+_builder = TypeMachineBuilder(RolloutLifecycle, _Cell)
 _states = {state: _builder.state(state.value) for state in RolloutState}
 
 
 def _transition(source: RolloutState, event: object, target: RolloutState) -> None:
     @_states[source].upon(event).to(_states[target])  # type: ignore[arg-type]
-    def move(life: RolloutLife, cell: _Cell) -> None:
+    def move(life: RolloutLifecycle, cell: _Cell) -> None:
         cell.state = target
 
 
-_transition(RolloutState.PLANNED, RolloutLife.begin, RolloutState.RUNNING)
-_transition(RolloutState.PLANNED, RolloutLife.hold, RolloutState.HELD)
-_transition(RolloutState.PLANNED, RolloutLife.roll_back, RolloutState.ROLLED_BACK)
-_transition(RolloutState.RUNNING, RolloutLife.hold, RolloutState.HELD)
-_transition(RolloutState.RUNNING, RolloutLife.finish, RolloutState.DONE)
-_transition(RolloutState.RUNNING, RolloutLife.roll_back, RolloutState.ROLLED_BACK)
-_transition(RolloutState.HELD, RolloutLife.go_on, RolloutState.RUNNING)
-_transition(RolloutState.HELD, RolloutLife.roll_back, RolloutState.ROLLED_BACK)
+_transition(RolloutState.PLANNED, RolloutLifecycle.start, RolloutState.RUNNING)
+_transition(RolloutState.PLANNED, RolloutLifecycle.hold, RolloutState.HELD)
+_transition(RolloutState.PLANNED, RolloutLifecycle.roll_back, RolloutState.ROLLED_BACK)
+_transition(RolloutState.RUNNING, RolloutLifecycle.hold, RolloutState.HELD)
+_transition(RolloutState.RUNNING, RolloutLifecycle.finish, RolloutState.DONE)
+_transition(RolloutState.RUNNING, RolloutLifecycle.roll_back, RolloutState.ROLLED_BACK)
+_transition(RolloutState.HELD, RolloutLifecycle.resume, RolloutState.RUNNING)
+_transition(RolloutState.HELD, RolloutLifecycle.roll_back, RolloutState.ROLLED_BACK)
 
 _make_machine = _builder.build()
 
 
-def make_rollout_life(state: RolloutState) -> tuple[RolloutLife, _Cell]:
+def make_rollout_lifecycle(state: RolloutState) -> tuple[RolloutLifecycle, _Cell]:
     """Return the life cycle of a roll-out that stands at a state, and the cell that shows it."""
     cell = _Cell(state)
     life = _make_machine(cell)
     match state:
         case RolloutState.RUNNING:
-            life.begin()
+            life.start()
         case RolloutState.HELD:
             life.hold()
         case RolloutState.DONE:
-            life.begin()
+            life.start()
             life.finish()
         case RolloutState.ROLLED_BACK:
             life.roll_back()
@@ -186,7 +186,7 @@
 
 def _load_one(plan: Rollout, view: RolloutView, target: str, source: str) -> Step | None:
     """Order one more endpoint to load, from the availability zone that has most of the source."""
-    if sum(row.is_loading for row in view.endpoints) >= MAX_LOADS:
+    if sum(row.is_loading for row in view.endpoints) >= MAX_CONCURRENT_LOADS:
         return None
     candidates = _serving(view, source)
     if len(candidates) <= 1:
@@ -239,7 +239,7 @@
     next_plan = replace(
         plan, state=RolloutState.ROLLED_BACK, reason=f"{new.key} is {new.state.value}"
     )
-    return UpdatePlan(next_plan, (restored(old),) if is_restorable(old) else ())
+    return UpdatePlan(next_plan, (restored_version(old),) if is_restorable(old) else ())
 
 
 def is_restorable(ver: Version) -> bool:
@@ -247,7 +247,7 @@
     return ver.state in (VersionState.ACTIVE, VersionState.RETIRED)
 
 
-def restored(ver: Version) -> Version:
+def restored_version(ver: Version) -> Version:
     """Return a version as it is once a roll-out has been taken back."""
     return replace(ver, state=VersionState.ACTIVE, share=1.0)
 
@@ -260,7 +260,7 @@
 
 
 def _load_back(plan: Rollout, view: RolloutView) -> Step | None:
-    if sum(row.is_loading for row in view.endpoints) >= MAX_LOADS:
+    if sum(row.is_loading for row in view.endpoints) >= MAX_CONCURRENT_LOADS:
         return None
     chosen = min(_serving(view, plan.version), key=lambda row: (row.load, row.name))
     return LoadEndpoint(chosen.name, plan.previous)
--- a/umberhitch/core/choice.py
+++ b/umberhitch/core/selection.py
@@ -14,8 +14,8 @@
 
 __all__ = [
     "ANY_MODEL",
-    "Candidate",
-    "EndpointLoad",
+    "FixedLoadEndpoint",
+    "SelectableEndpoint",
     "choose_endpoint",
     "choose_version",
     "expected_quality",
@@ -25,11 +25,11 @@
 ANY_MODEL = "auto"
 """The model name by which a caller leaves the choice to the router."""
 
-SPILL_LOAD = 0.9
+SPILLOVER_LOAD = 0.9
 """Load above which an endpoint of another availability zone is considered."""
 
 
-class Candidate(Protocol):
+class SelectableEndpoint(Protocol):
     """What the choice needs to know of an endpoint."""
 
     @property
@@ -43,12 +43,12 @@
         ...
 
 
-T = TypeVar("T", bound=Candidate)
+T = TypeVar("T", bound=SelectableEndpoint)
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointLoad:
-    """A plain `Candidate`."""
+class FixedLoadEndpoint:
+    """A plain `SelectableEndpoint`."""
 
     name: str
     zone: str
@@ -142,9 +142,9 @@
 
 def choose_endpoint(
     pool: Sequence[T],
-    near: Sequence[T],
+    same_zone: Sequence[T],
     rng: Random,
-    avoid: Container[str] = (),
+    excluded: Container[str] = (),
     is_urgent: bool = False,
 ) -> T | None:
     """Return the less loaded of two random endpoints, from the own availability zone if possible.
@@ -154,20 +154,20 @@
 
     Parameters
     ----------
-    pool : sequence of Candidate
+    pool : sequence of SelectableEndpoint
         Every endpoint that may be chosen.
-    near : sequence of Candidate
+    same_zone : sequence of SelectableEndpoint
         Those of the own availability zone.
     rng : Random
-    avoid : container of str
+    excluded : container of str
         Names of endpoints that were tried already.
     is_urgent : bool
         Whether the work overtakes what is not urgent in an agent's queue.
     """
-    best = _less_loaded_of_two(near, rng, avoid, is_urgent)
-    if best is not None and best.load(is_urgent) < SPILL_LOAD:
+    best = _less_loaded_of_two(same_zone, rng, excluded, is_urgent)
+    if best is not None and best.load(is_urgent) < SPILLOVER_LOAD:
         return best
-    other = _less_loaded_of_two(pool, rng, avoid, is_urgent)
+    other = _less_loaded_of_two(pool, rng, excluded, is_urgent)
     if best is None or (other is not None and other.load(is_urgent) < best.load(is_urgent)):
         return other
     return best
--- a/umberhitch/core/subsets.py
+++ b/umberhitch/core/subsets.py
@@ -13,9 +13,9 @@
 
 from umberhitch.ports import Host
 
-__all__ = ["SubsetLimits", "Subsets"]
+__all__ = ["AgentSubset", "SubsetLimits"]
 
-BUCKETS = 1024
+BUCKET_COUNT = 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,12 @@
         Of these, how many send it each change of configuration unasked.
     """
 
-    near: int = 6
-    far: int = 2
-    feeders: int = 2
+    same_zone: int = 6
+    other_zones: int = 2
+    config_publishers: int = 2
 
 
-class Subsets:
+class AgentSubset:
     """Works out one router's agents.
 
     Parameters
@@ -62,44 +62,48 @@
     def serves(self, agent: Host) -> bool:
         """Whether this router serves an agent."""
         limits = self._limits
-        if len(self._zones) <= limits.near + limits.far:
+        if len(self._zones) <= limits.same_zone + limits.other_zones:
             return True
         own = self._own.get(agent.zone)
         if own is None:
             own = self._own[agent.zone] = self._own_buckets(agent.zone)
         return bucket_of(agent.name) in own
 
-    def feeds(self, agent: Host) -> bool:
+    def publishes_to(self, agent: Host) -> bool:
         """Whether this router sends an agent each change of configuration unasked."""
-        if len(self._zones) <= self._limits.feeders:
+        if len(self._zones) <= self._limits.config_publishers:
             return True
         near = [name for name, zone in self._zones.items() if zone == agent.zone]
-        candidates = near if len(near) >= self._limits.feeders else list(self._zones)
+        candidates = near if len(near) >= self._limits.config_publishers else list(self._zones)
         if self._router not in candidates:
             return False
-        return self._ranks(agent.zone, bucket_of(agent.name), candidates, self._limits.feeders)
+        return self._ranks(
+            agent.zone, bucket_of(agent.name), candidates, self._limits.config_publishers
+        )
 
     def _own_buckets(self, zone: str) -> frozenset[int]:
         """Return the buckets of a zone's agents that this router serves."""
         near = [name for name, where in self._zones.items() if where == zone]
         far = [name for name, where in self._zones.items() if where != zone]
         limits = self._limits
-        if len(near) < limits.near:
-            candidates, places = list(self._zones), limits.near + limits.far
+        if len(near) < limits.same_zone:
+            candidates, places = list(self._zones), limits.same_zone + limits.other_zones
         elif self._zones.get(self._router) == zone:
-            candidates, places = near, limits.near
+            candidates, places = near, limits.same_zone
         else:
-            candidates, places = far, limits.far
+            candidates, places = far, limits.other_zones
         return frozenset(
-            bucket for bucket in range(BUCKETS) if self._ranks(zone, bucket, candidates, places)
+            bucket
+            for bucket in range(BUCKET_COUNT)
+            if self._ranks(zone, bucket, candidates, places)
         )
 
     def _ranks(self, zone: str, bucket: int, routers: Iterable[str], places: int) -> bool:
         """Whether the own weight for a bucket is among the highest."""
-        own = weight(zone, bucket, self._router)
+        own = rendezvous_weight(zone, bucket, self._router)
         higher = 0
         for name in routers:
-            if name != self._router and weight(zone, bucket, name) > own:
+            if name != self._router and rendezvous_weight(zone, bucket, name) > own:
                 higher += 1
                 if higher >= places:
                     return False
@@ -108,9 +112,9 @@
 
 def bucket_of(agent: str) -> int:
     """Return the bucket of an agent."""
-    return xxh3_64_intdigest(agent.encode()) % BUCKETS
+    return xxh3_64_intdigest(agent.encode()) % BUCKET_COUNT
 
 
-def weight(zone: str, bucket: int, router: str) -> int:
+def rendezvous_weight(zone: str, bucket: int, router: str) -> int:
     """Return the rendezvous weight of a router for a bucket of a zone."""
     return xxh3_64_intdigest(f"{zone}\0{bucket}\0{router}".encode())
--- a/umberhitch/core/tests/test_burn.py
+++ b/umberhitch/core/tests/test_burn.py
@@ -1,12 +1,12 @@
 """Burn rates."""
 
-from umberhitch.core.burn import BurnBook, Severity, burn_rows
+from umberhitch.core.burn import BurnCounter, Severity, burn_rows
 
 OBJECTIVES = {"lookup": (0.99, 1.0)}
 NOW_S = 600_000.0
 
 
-def fill(book: BurnBook, minutes: int, bad_of_100: int) -> None:
+def fill(book: BurnCounter, minutes: int, bad_of_100: int) -> None:
     for minute in range(minutes):
         at_s = NOW_S - 60.0 * (minutes - 1 - minute)
         for index in range(100):
@@ -14,7 +14,7 @@
 
 
 def test_a_budget_that_is_spent_as_allowed_burns_at_one() -> None:
-    book = BurnBook()
+    book = BurnCounter()
     fill(book, 60, 1)
     (row,) = burn_rows(book.slices(), OBJECTIVES, NOW_S)
     assert row.rates[300] == row.rates[3600] == 1.0
@@ -23,7 +23,7 @@
 
 
 def test_a_fast_burn_pages_only_if_both_windows_burn() -> None:
-    book = BurnBook()
+    book = BurnCounter()
     fill(book, 60, 20)
     assert burn_rows(book.slices(), OBJECTIVES, NOW_S)[0].severity is Severity.PAGE
     still_long = burn_rows(book.slices(), OBJECTIVES, NOW_S + 360.0)[0]
@@ -35,7 +35,7 @@
 
 
 def test_routers_merge_exactly() -> None:
-    one, other, whole = BurnBook(), BurnBook(), BurnBook()
+    one, other, whole = BurnCounter(), BurnCounter(), BurnCounter()
     for index in range(1000):
         book = one if index % 3 else other
         for target in (book, whole):
@@ -45,6 +45,6 @@
 
 
 def test_a_class_without_an_objective_has_no_row() -> None:
-    book = BurnBook()
+    book = BurnCounter()
     book.count(NOW_S, "acme", "letter", True, 0.5)
     assert burn_rows(book.slices(), OBJECTIVES, NOW_S) == []
--- a/umberhitch/core/tests/test_evidence.py
+++ b/umberhitch/core/tests/test_evidence.py
@@ -5,7 +5,7 @@
 import pytest
 
 from umberhitch.core.detector import Detector
-from umberhitch.core.evidence import EvidenceBook, Judge, Signal
+from umberhitch.core.evidence import EvidenceBuffer, Signal, VersionJudge
 
 SPREAD = 8.0
 GOOD = 0.86
@@ -15,15 +15,15 @@
     return rng.betavariate(mean * SPREAD, (1 - mean) * SPREAD)
 
 
-def first_alarm(judge: Judge, rng: Random, quality: float, limit: int, **fields):
+def first_alarm(judge: VersionJudge, rng: Random, quality: float, limit: int, **fields):
     """Feed rounds of ten answers; returns the alarm and the answers it took."""
     for count in range(10, limit + 1, 10):
-        book = EvidenceBook()
+        book = EvidenceBuffer()
         for _ in range(10):
-            book.ended("m@1", "draft", rng.random() >= fields.get("failing", 0.0), 0.5)
-            book.rated("m@1", "draft", rate(rng, quality))
-        for evidence in book.take():
-            alarm = judge.take(evidence)
+            book.record_attempt("m@1", "draft", rng.random() >= fields.get("failing", 0.0), 0.5)
+            book.record_rating("m@1", "draft", rate(rng, quality))
+        for evidence in book.flush():
+            alarm = judge.observe(evidence)
             if alarm is not None:
                 return alarm, count
     return None, limit
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(("drop", "most"), [(0.4, 60), (0.15, 400)])
 def test_a_drop_of_quality_is_found_within_the_aim(drop: float, most: int) -> None:
     for seed in range(10):
-        rng, judge = Random(seed), Judge()
+        rng, judge = Random(seed), VersionJudge()
         assert first_alarm(judge, rng, GOOD, 1000) == (None, 1000)
         alarm, count = first_alarm(judge, rng, GOOD * (1 - drop), most)
         assert alarm is not None, seed
@@ -41,7 +41,7 @@
 
 
 def test_a_rise_of_failures_is_found() -> None:
-    rng, judge = Random(1), Judge()
+    rng, judge = Random(1), VersionJudge()
     assert first_alarm(judge, rng, GOOD, 500)[0] is None
     alarm, _ = first_alarm(judge, rng, GOOD, 200, failing=0.5)
     assert alarm is not None
@@ -49,20 +49,20 @@
 
 
 def test_a_good_version_is_left_alone() -> None:
-    rng, judge = Random(7), Judge()
+    rng, judge = Random(7), VersionJudge()
     assert first_alarm(judge, rng, GOOD, 30_000)[0] is None
 
 
 def test_a_version_is_compared_with_the_one_it_replaces() -> None:
-    rng, judge = Random(3), Judge()
+    rng, judge = Random(3), VersionJudge()
     for _ in range(40):
-        book = EvidenceBook()
+        book = EvidenceBuffer()
         for _ in range(10):
-            book.ended("m@old", "draft", True, 0.5)
-            book.rated("m@old", "draft", rate(rng, GOOD))
-        for evidence in book.take():
-            judge.take(evidence)
-    judge.compare_with("m@1", "m@old")
+            book.record_attempt("m@old", "draft", True, 0.5)
+            book.record_rating("m@old", "draft", rate(rng, GOOD))
+        for evidence in book.flush():
+            judge.observe(evidence)
+    judge.set_predecessor("m@1", "m@old")
     alarm, count = first_alarm(judge, rng, GOOD * 0.6, 100)
     assert alarm is not None
     assert count <= 60
@@ -79,10 +79,10 @@
     """Found by the exposure benchmark: failures were put first in each batch, which biased it."""
     alarms = 0
     for seed in range(6):
-        rng, judge = Random(seed), Judge()
+        rng, judge = Random(seed), VersionJudge()
         for _ in range(1000):
-            book = EvidenceBook()
+            book = EvidenceBuffer()
             for _ in range(50):
-                book.ended("m@1", "draft", rng.random() >= 0.01, 0.5)
-            alarms += sum(judge.take(evidence) is not None for evidence in book.take())
+                book.record_attempt("m@1", "draft", rng.random() >= 0.01, 0.5)
+            alarms += sum(judge.observe(evidence) is not None for evidence in book.flush())
     assert alarms == 0
--- a/umberhitch/core/tests/test_leases.py
+++ b/umberhitch/core/tests/test_leases.py
@@ -60,6 +60,6 @@
     assert not fence.admits(7, now_s=2.9)
     assert fence.admits(7, now_s=3.0)
     assert fence.admits(7, now_s=3.1)
-    fence.hear(9)
+    fence.observe(9)
     assert not fence.admits(8, now_s=4.0)
     assert fence.admits(9, now_s=4.0)
--- a/umberhitch/core/tests/test_queue.py
+++ b/umberhitch/core/tests/test_queue.py
@@ -18,7 +18,7 @@
         self.seq += 1
         start = make_start(self.seq, customer=customer, priority=priority)
         entry = AttemptEntry(start.attempt, start)
-        self.queue.push(self.queue.place_for(priority, customer), entry, customer, share)
+        self.queue.push(self.queue.position_for(priority, customer), entry, customer, share)
         return entry
 
     def pop_customers(self, count: int) -> list[str]:
--- a/umberhitch/core/tests/test_subsets.py
+++ b/umberhitch/core/tests/test_subsets.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from umberhitch.core.subsets import Subsets
+from umberhitch.core.subsets import AgentSubset
 from umberhitch.ports import Host, HostRole
 
 ZONES = ("a", "b", "c", "d")
@@ -15,7 +15,7 @@
 def pairs_of(routers: dict[str, str], agents: list[Host]) -> set[tuple[str, str]]:
     found = set()
     for name in routers:
-        subsets = Subsets(name)
+        subsets = AgentSubset(name)
         subsets.set_routers(routers)
         found |= {(agent.name, name) for agent in agents if subsets.serves(agent)}
     return found
@@ -55,10 +55,10 @@
     routers = {f"r{i}": ZONES[i % 4] for i in range(48)}
     feeders: Counter[str] = Counter()
     for name, zone in routers.items():
-        subsets = Subsets(name)
+        subsets = AgentSubset(name)
         subsets.set_routers(routers)
         for agent in make_agents(200):
-            if subsets.feeds(agent):
+            if subsets.publishes_to(agent):
                 assert subsets.serves(agent)
                 assert zone == agent.zone
                 feeders[agent.name] += 1
--- a/umberhitch/core/stops.py
+++ b/umberhitch/core/withdrawals.py
@@ -3,10 +3,10 @@
 from umberhitch.config import Fold, Kind, Rejected
 from umberhitch.wire import Withdrawal
 
-__all__ = ["DirectStops"]
+__all__ = ["DirectWithdrawals"]
 
 
-class DirectStops:
+class DirectWithdrawals:
     """Remembers direct withdrawals until the configuration has caught up with them."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self._stops[message.version] = (message.change_id, fold.revision)
         return True
 
-    def holds(self, version: str, fold: Fold) -> bool:
+    def is_withdrawn(self, version: str, fold: Fold) -> bool:
         """Whether a version is stopped although the configuration does not say so yet."""
         stop = self._stops.get(version)
         if stop is None:
--- a/umberhitch/gateway_node.py
+++ b/umberhitch/gateway_node.py
@@ -31,8 +31,8 @@
 from umberhitch.tasks.direct.gateway_limits import GatewaySettings
 from umberhitch.tasks.direct.opening import open_when_loaded
 from umberhitch.tasks.direct.peers import DirectPeers
+from umberhitch.tasks.direct.read_sharing import ReadSharing, StreamName
 from umberhitch.tasks.direct.shared_view import share_stream
-from umberhitch.tasks.direct.sharing import Sharing, StreamName
 from umberhitch.tasks.direct.stored_holds import StoredHolds
 from umberhitch.tasks.direct.trials import Trials
 
@@ -130,7 +130,7 @@
     )
     trials = Trials(reactor, rng, Statuses(store), trial_limits)
     link = ZmqLink(settings.name, reactor, context, settings.listen.link)
-    sharing = Sharing(settings.name, incarnation, reactor, rng, link.send)
+    sharing = ReadSharing(settings.name, incarnation, reactor, rng, link.send)
     operator_view = share_stream(sharing, StreamName.OPERATOR, make_operator_feed(store))
     registry_view = share_stream(sharing, StreamName.REGISTRY, make_endpoint_feed(store))
     gateway = Gateway(
@@ -155,10 +155,10 @@
         registry_view,
         trials,
     )
-    operator_view.follow(gateway.view.operator_feed)
-    registry_view.follow(gateway.view.registry_feed)
+    operator_view.attach_feed(gateway.view.operator_feed)
+    registry_view.attach_feed(gateway.view.registry_feed)
     me = Member(settings.name, link.address)
-    burn_host = BurnHost(settings.name, sharing.names, link.send, gateway.objectives)
+    burn_host = BurnHost(settings.name, sharing.peer_names, link.send, gateway.objectives)
     gateway.burn = BurnTask(burn_host, reactor, time, has_latencies=False)
     peers = DirectPeers(me, incarnation, gateway, reactor, rng, link, Members(store), sharing)
     holds = StoredHolds(reactor, HoldsStore(store), gateway.crashes.sharing, peers.rank)
--- a/umberhitch/platform/tests/test_large_documents_causes.py
+++ b/umberhitch/platform/tests/test_large_documents_causes.py
@@ -8,10 +8,10 @@
 from umberhitch.adapters.h11_fetch import _Fetch
 from umberhitch.platform.tests import test_large_documents as seen
 from umberhitch.tasks.direct import shared_view
+from umberhitch.tasks.direct.change_encoding import OperatorChangeEncoder
+from umberhitch.tasks.direct.read_sharing import ReadSharing
 from umberhitch.tasks.direct.shared_view import SharedView
-from umberhitch.tasks.direct.sharing import Sharing
 from umberhitch.tasks.direct.store_view import StoreView
-from umberhitch.tasks.direct.telling import ChangeTeller
 
 
 def give_up_by_the_whole_duration(patch: pytest.MonkeyPatch) -> None:
@@ -24,18 +24,20 @@
 
 def tell_only_what_is_read_whole_and_read_by_name(patch: pytest.MonkeyPatch) -> None:
     """Each repair by itself keeps the bound; so does asking the next reader since that is done."""
-    reader = Sharing.reader
+    reader = ReadSharing.choose_reader
 
     async def ask_no_other(self: SharedView[object], failed: str, offset: int) -> None:
         return None
 
-    def as_if_all_alike(self: Sharing, shunned: set[str], among_others: bool = False) -> str | None:
+    def as_if_all_alike(
+        self: ReadSharing, shunned: set[str], among_others: bool = False
+    ) -> str | None:
         link_mbps, self.link_mbps = self.link_mbps, lambda name: 0.0
         found = reader(self, shunned, among_others)
         self.link_mbps = link_mbps
         return found
 
-    patch.setattr(Sharing, "reader", as_if_all_alike)
+    patch.setattr(ReadSharing, "reader", as_if_all_alike)
     patch.setattr(shared_view, "EARLY_S", 100.0)
     patch.setattr(SharedView, "_ask_next", ask_no_other)
 
@@ -45,7 +47,7 @@
 
 
 def tell_no_changes(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ChangeTeller, "tell", lambda self, key, known, value, most_bytes: None)
+    patch.setattr(OperatorChangeEncoder, "tell", lambda self, key, known, value, most_bytes: None)
 
 
 Cause = Callable[[pytest.MonkeyPatch], None]
--- a/umberhitch/scenarios/tests/test_mutations.py
+++ b/umberhitch/scenarios/tests/test_mutations.py
@@ -14,11 +14,11 @@
 from umberhitch.core.attempt import AttemptEntry
 from umberhitch.core.billing import BillFold
 from umberhitch.core.claims import ClaimFold, ClaimState
-from umberhitch.core.evidence import Judge
+from umberhitch.core.evidence import VersionJudge
 from umberhitch.core.fencing import Fence
-from umberhitch.core.ledger import Fresh, Ledger
+from umberhitch.core.ledger import Inserted, Ledger
 from umberhitch.core.outcome import NotRun, Reason
-from umberhitch.core.stops import DirectStops
+from umberhitch.core.withdrawals import DirectWithdrawals
 from umberhitch.scenarios import SCENARIO_FILES, ScenarioError, parse_scenario, run_scenario
 from umberhitch.tasks import agent_config as agent_config_module
 from umberhitch.tasks import attempts as attempts_module
@@ -36,7 +36,7 @@
 
 
 def _forget_direct_stops(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(DirectStops, "holds", lambda *args: False)
+    patch.setattr(DirectWithdrawals, "holds", lambda *args: False)
 
 
 def _ignore_sessions(patch: pytest.MonkeyPatch) -> None:
@@ -96,7 +96,7 @@
 
 def _forget_attempts(patch: pytest.MonkeyPatch) -> None:
     def admit(self, start, due_s):
-        return Fresh(self._insert(AttemptEntry(start.attempt, start, due_s)))
+        return Inserted(self._insert(AttemptEntry(start.attempt, start, due_s)))
 
     patch.setattr(Ledger, "admit", admit)
 
@@ -106,7 +106,7 @@
 
     def tombstone(self, attempt):
         admission = real(self, attempt)
-        if isinstance(admission, Fresh):
+        if isinstance(admission, Inserted):
             del self._entries[attempt], self._ended[attempt]
         return admission
 
@@ -150,7 +150,7 @@
 
 
 def _never_alarm(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Judge, "take", lambda self, evidence: None)
+    patch.setattr(VersionJudge, "take", lambda self, evidence: None)
 
 
 def _need_no_evidence(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/soak/_mutations.py
+++ b/umberhitch/soak/_mutations.py
@@ -51,13 +51,13 @@
     """A configuration that was taken is never replaced."""
     from umberhitch.tasks.direct.store_view import StoreView
 
-    take = StoreView._take_document
+    take = StoreView._apply_document
 
     def take_first(self: Any, document: Any) -> None:
         if self.table is None:
             take(self, document)
 
-    StoreView._take_document = take_first  # type: ignore[method-assign]
+    StoreView._apply_document = take_first  # type: ignore[method-assign]
 
 
 def _ignore_leaving() -> None:
--- a/umberhitch/tasks/agent.py
+++ b/umberhitch/tasks/agent.py
@@ -14,7 +14,7 @@
 from umberhitch.config import Config
 from umberhitch.core.attempt import AttemptEntry, AttemptState
 from umberhitch.core.billing import cost_micros
-from umberhitch.core.ledger import BelowFloor, Fresh, Full, Ledger, Repeated
+from umberhitch.core.ledger import BelowFloor, Existing, Inserted, Ledger, LedgerFull
 from umberhitch.core.outcome import Reason
 from umberhitch.core.queue import WorkQueue
 from umberhitch.ports import (
@@ -141,7 +141,7 @@
 
     def _check_drained(self) -> None:
         done = self._drained
-        if done is not None and not done.called and not self._ledger.live and not self._usage:
+        if done is not None and not done.called and not self._ledger.live_count and not self._usage:
             done.callback(None)
 
     def _tick(self) -> None:
@@ -244,7 +244,7 @@
         if known is not None and hello.incarnation < known.incarnation:
             return
         now = self._clock.seconds()
-        self._loading.fence.hear(hello.token)
+        self._loading.fence.observe(hello.token)
         router = self._routers[sender] = _Router(hello.incarnation, now, hello.heartbeat_interval_s)
         router.told_s = now if known is None else known.told_s
         if known is None or known.incarnation != hello.incarnation:
@@ -298,10 +298,10 @@
         now = self._clock.seconds()
         grace_s = self.settings.overdue_grace_s
         for entry in list(self._running.values()):
-            if now >= entry.due_s + 2 * grace_s:
+            if now >= entry.deadline_s + 2 * grace_s:
                 self._finish(entry, Failed(entry.attempt, Reason.DEADLINE))
                 self._fill_slots()
-            elif now >= entry.due_s + grace_s:
+            elif now >= entry.deadline_s + grace_s:
                 self._backend.cancel(str(entry.attempt))
 
     # Attempts
@@ -326,23 +326,23 @@
     def _admit(self, sender: str, start: Start) -> None:
         due_s = self._clock.seconds() + start.deadline_s
         match self._ledger.admit(start, due_s):
-            case Fresh(entry=entry):
+            case Inserted(entry=entry):
                 self._watchers[entry.attempt] = {sender}
                 reason = self._admission_refusal(start)
                 if reason is not None:
                     self._finish(entry, Refused(entry.attempt, reason, _retry_after(reason)))
                     return
                 self._link.send(sender, AttemptAccepted(entry.attempt))
-                place = self._queue.place_for(start.priority, start.customer)
+                place = self._queue.position_for(start.priority, start.customer)
                 owner = self.config.customers.get(start.customer)
                 share = max(LEAST_SHARE, owner.limits.share if owner is not None else 1.0)
                 self._queue.push(place, entry, start.customer, share)
                 self._fill_slots()
-            case Repeated(entry=entry):
+            case Existing(entry=entry):
                 self._link.send(sender, entry.result or AttemptAccepted(entry.attempt))
             case BelowFloor():
                 self._link.send(sender, Failed(start.attempt, Reason.EVICTED))
-            case Full():
+            case LedgerFull():
                 self._send_refusal(sender, start.attempt, Reason.LEDGER_FULL)
 
     def _admission_refusal(self, start: Start) -> Reason | None:
@@ -353,7 +353,7 @@
         reason = self._config.refusal(start)
         if reason is not None:
             return reason
-        if len(self._usage) + self._ledger.live > self.settings.usage_records:
+        if len(self._usage) + self._ledger.live_count > self.settings.usage_records:
             return Reason.USAGE_FULL
         if len(self._queue) >= self.settings.queue and not self._give_way(start):
             return Reason.OVERLOADED
@@ -365,7 +365,7 @@
         That is the least urgent one, and among equals one of the customer with the most in wait.
         """
         last = self._queue.last()
-        if last is None or self._queue.place_for(start.priority, start.customer) >= last[0]:
+        if last is None or self._queue.position_for(start.priority, start.customer) >= last[0]:
             return False
         entry = last[1]
         self._queue.remove(entry)
@@ -375,15 +375,15 @@
     def _refuse_start(self, sender: str, start: Start, reason: Reason) -> None:
         """Refuse an attempt that is not in the ledger, and keep the refusal there."""
         match self._ledger.tombstone(start.attempt):
-            case Fresh(entry=entry):
+            case Inserted(entry=entry):
                 entry.result = Refused(start.attempt, reason, _retry_after(reason))
                 self._link.send(sender, entry.result)
                 self._count_refusal(reason)
-            case Repeated(entry=entry):
+            case Existing(entry=entry):
                 self._link.send(sender, entry.result or AttemptAccepted(entry.attempt))
             case BelowFloor():
                 self._link.send(sender, Failed(start.attempt, Reason.EVICTED))
-            case Full():
+            case LedgerFull():
                 self._send_refusal(sender, start.attempt, Reason.LEDGER_FULL)
 
     def _send_refusal(self, sender: str, attempt: AttemptId, reason: Reason) -> None:
@@ -396,7 +396,7 @@
     def _fill_slots(self) -> None:
         while len(self._running) < self.settings.slots and len(self._queue):
             entry = self._queue.pop()
-            if self._clock.seconds() >= entry.due_s:
+            if self._clock.seconds() >= entry.deadline_s:
                 self._finish(entry, Refused(entry.attempt, Reason.DEADLINE))
                 continue
             if entry.start is not None and entry.start.target not in self.targets:
@@ -407,7 +407,7 @@
     def _run(self, entry: AttemptEntry) -> None:
         start = entry.start
         assert start is not None
-        self._ledger.begin(entry)
+        self._ledger.record_start(entry)
         self._running[entry.attempt] = entry
         self.counters.started += 1
         call = BackendCall(
@@ -415,7 +415,7 @@
             start.target,
             start.work,
             start.priority,
-            entry.due_s - self._clock.seconds(),
+            entry.deadline_s - self._clock.seconds(),
         )
         self._backend.start(call, lambda event: self._on_event(entry, event))
 
@@ -451,7 +451,7 @@
         self._fill_slots()
 
     def _finish(self, entry: AttemptEntry, result: Finished | Failed | Refused) -> None:
-        self._ledger.end(entry, result)
+        self._ledger.record_result(entry, result)
         self._running.pop(entry.attempt, None)
         if isinstance(result, Refused):
             self._count_refusal(result.reason)
@@ -472,13 +472,13 @@
             return
         self._parked = [row for row in self._parked if row[1].attempt != attempt]
         match self._ledger.tombstone(attempt):
-            case Fresh(entry=entry):
+            case Inserted(entry=entry):
                 self._link.send(sender, entry.result or AttemptAccepted(attempt))
-            case Repeated(entry=entry):
+            case Existing(entry=entry):
                 self._cancel_known(sender, entry)
             case BelowFloor():
                 self._link.send(sender, Failed(attempt, Reason.EVICTED))
-            case Full():
+            case LedgerFull():
                 log.warning("ledger full, cancel ignored", extra={"attempt": str(attempt)})
 
     def _cancel_known(self, sender: str, entry: AttemptEntry) -> None:
--- a/umberhitch/tasks/agent_config.py
+++ b/umberhitch/tasks/agent_config.py
@@ -9,7 +9,7 @@
 from umberhitch.core.outcome import Reason
 from umberhitch.core.permission import refusal_for
 from umberhitch.core.session import Session, read_session_token
-from umberhitch.core.stops import DirectStops
+from umberhitch.core.withdrawals import DirectWithdrawals
 from umberhitch.errors import SessionError
 from umberhitch.wire import ConfigRecords, ConfigSnapshot, Start, Withdrawal
 
@@ -30,7 +30,7 @@
     def __init__(self, wall_s: Callable[[], float]) -> None:
         self._wall_s = wall_s
         self._catch_up = CatchUp(Fold())
-        self._stops = DirectStops()
+        self._stops = DirectWithdrawals()
 
     @property
     def revision(self) -> int:
@@ -70,7 +70,7 @@
 
     def refusal(self, start: Start) -> Reason | None:
         """Return why an attempt must not run, or None if it may."""
-        if self._stops.holds(start.target, self._catch_up.fold):
+        if self._stops.is_withdrawn(start.target, self._catch_up.fold):
             return Reason.WITHDRAWN
         session: Session | None = None
         if start.session:
--- a/umberhitch/tasks/attempts.py
+++ b/umberhitch/tasks/attempts.py
@@ -291,7 +291,7 @@
 
     def _end_if_whole(self, watch: OpenAttempt) -> None:
         last = watch.finished
-        if last is None or not watch.answer.is_whole:
+        if last is None or not watch.answer.is_complete:
             return
         done = Done(
             watch.answer.text(),
--- a/umberhitch/tasks/burn.py
+++ b/umberhitch/tasks/burn.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from umberhitch.core.burn import BurnBook, BurnRow, burn_rows
+from umberhitch.core.burn import BurnCounter, BurnRow, burn_rows
 from umberhitch.core.outcome import Done, NotRun, Outcome, Reason
 from umberhitch.ports.clock import Clock, pause
 from umberhitch.wire import BurnReply, BurnRequest, BurnSlice, Message
@@ -87,7 +87,7 @@
         self._host = host
         self._clock = clock
         self._wall_s = wall_s
-        self._book = BurnBook(has_latencies=has_latencies)
+        self._book = BurnCounter(has_latencies=has_latencies)
         self._asks = 0
         self._replies: dict[int, dict[str, list[BurnSlice]]] = {}
 
--- a/umberhitch/tasks/direct/telling.py
+++ b/umberhitch/tasks/direct/change_encoding.py
@@ -17,13 +17,13 @@
 from umberhitch.ports.direct import FeedRecord, OperatorValue
 from umberhitch.wire import ViewReply, pack_value, unpack_value
 
-__all__ = ["ChangeTeller", "EntryTeller", "Teller"]
+__all__ = ["ChangeEncoder", "EndpointEntryEncoder", "OperatorChangeEncoder"]
 
 Value = TypeVar("Value")
 Records = tuple[FeedRecord[Value], ...]
 
 
-class Teller(Protocol[Value]):
+class ChangeEncoder(Protocol[Value]):
     """How the changes of one stream are told.
 
     Attributes
@@ -35,58 +35,58 @@
         Changes kept to be told.
     """
 
-    tells_all: bool
-    kept_changes: int
+    encodes_every_change: bool
+    max_changes: int
 
-    def tell(self, key: str, known: Value | None, value: Value | None, most_bytes: float) -> Any:
+    def encode(self, key: str, known: Value | None, value: Value | None, max_bytes: float) -> Any:
         """Return what is told of a record, or None if it is too large to be told."""
         ...
 
-    def add(self, reply: ViewReply, told: list[tuple[str, Any]]) -> ViewReply:
+    def add_to_reply(self, reply: ViewReply, encoded: list[tuple[str, Any]]) -> ViewReply:
         """Return a reply that tells changes."""
         ...
 
-    def take(self, reply: ViewReply, known: Mapping[str, Value]) -> Records[Value] | None:
+    def decode(self, reply: ViewReply, known: Mapping[str, Value]) -> Records[Value] | None:
         """Return the records that a reply tells, or None if it tells of them only."""
         ...
 
 
-class EntryTeller:
+class EndpointEntryEncoder:
     """Tells the entries of endpoints as they are."""
 
-    tells_all = True
-    kept_changes = 5000
+    encodes_every_change = True
+    max_changes = 5000
 
-    def tell(
-        self, key: str, known: EndpointEntry | None, value: EndpointEntry | None, most_bytes: float
+    def encode(
+        self, key: str, known: EndpointEntry | None, value: EndpointEntry | None, max_bytes: float
     ) -> tuple[EndpointEntry | None]:
         """Return the entry; None where it is gone."""
         return (value,)
 
-    def add(self, reply: ViewReply, told: list[tuple[str, Any]]) -> ViewReply:
+    def add_to_reply(self, reply: ViewReply, encoded: list[tuple[str, Any]]) -> ViewReply:
         """Return a reply that tells entries."""
-        records = [(key, entry) for key, (entry,) in told]
+        records = [(key, entry) for key, (entry,) in encoded]
         return replace(reply, records=records)
 
-    def take(
+    def decode(
         self, reply: ViewReply, known: Mapping[str, EndpointEntry]
     ) -> Records[EndpointEntry] | None:
         """Return the entries that a reply tells."""
         return tuple(starmap(FeedRecord, reply.records))
 
 
-class ChangeTeller:
+class OperatorChangeEncoder:
     """Tells of what operators wrote: of a configuration only what has changed.
 
     It costs 0.3 kB for one route of 4,250, of which the whole has 0.8 MB: that is what a link of
     5 Mbit/s carries in 1.3 s, in which its callers wait. 1,400 routes more are 27 kB.
     """
 
-    tells_all = False
-    kept_changes = 32
+    encodes_every_change = False
+    max_changes = 32
 
-    def tell(
-        self, key: str, known: OperatorValue | None, value: OperatorValue | None, most_bytes: float
+    def encode(
+        self, key: str, known: OperatorValue | None, value: OperatorValue | None, max_bytes: float
     ) -> bytes | None:
         """Return the change, packed, or None if it is too large."""
         told: Any = value
@@ -95,15 +95,15 @@
                 return None
             told = diff_documents(known, value)
         packed = pack_value(told)
-        return packed if len(packed) <= most_bytes else None
+        return packed if len(packed) <= max_bytes else None
 
-    def add(self, reply: ViewReply, told: list[tuple[str, Any]]) -> ViewReply:
+    def add_to_reply(self, reply: ViewReply, encoded: list[tuple[str, Any]]) -> ViewReply:
         """Return a reply that tells changes, all or none."""
-        if any(packed is None for _, packed in told):
+        if any(packed is None for _, packed in encoded):
             return reply
-        return replace(reply, packed=told)
+        return replace(reply, packed=encoded)
 
-    def take(
+    def decode(
         self, reply: ViewReply, known: Mapping[str, OperatorValue]
     ) -> Records[OperatorValue] | None:
         """Return the values that a reply's changes make, the last of each key."""
--- a/umberhitch/tasks/direct/change_log.py
+++ b/umberhitch/tasks/direct/change_log.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from umberhitch.ports.direct import FeedBatch, FeedRecord
-from umberhitch.tasks.direct.telling import Teller
+from umberhitch.tasks.direct.change_encoding import ChangeEncoder
 from umberhitch.wire import ViewReply
 
 __all__ = ["ChangeLog"]
@@ -20,7 +20,7 @@
     end: int
     """Offset after the batch that brought it."""
     key: str
-    told: Any
+    encoded: Any
     """What is told of it, None if it is too large."""
     was_away: bool
 
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    teller : Teller
+    teller : ChangeEncoder
 
     Attributes
     ----------
@@ -39,80 +39,82 @@
         Changes after this offset are known; -1 before anything is.
     """
 
-    def __init__(self, teller: Teller[Value]) -> None:
+    def __init__(self, encoder: ChangeEncoder[Value]) -> None:
         self.newest: dict[str, Value] = {}
-        self.floor = -1
-        self._teller = teller
+        self.start_offset = -1
+        self._encoder = encoder
         self._changes: deque[_Change] = deque()
 
-    def begin(self, batch: FeedBatch[Value]) -> None:
+    def reset(self, batch: FeedBatch[Value]) -> None:
         """Begin anew from a batch with the newest of every key, where changes cannot go on."""
-        if self._teller.tells_all or self.floor < 0:
-            self._forget(batch.end)
+        if self._encoder.encodes_every_change or self.start_offset < 0:
+            self._clear_changes(batch.end)
             self.newest.clear()
 
-    def note(
+    def append(
         self,
         batch: FeedBatch[Value],
-        is_whole: bool,
+        is_snapshot: bool,
         was_away: bool,
-        is_asked: bool,
-        most_bytes: float,
+        is_serving: bool,
+        max_bytes: float,
     ) -> None:
         """Remember the records of a batch that change anything; heartbeats do not.
 
         Parameters
         ----------
         batch : FeedBatch
-        is_whole : bool
+        is_snapshot : bool
             Whether it has the newest of every key: what is not in it is gone.
         was_away : bool
             Whether the store had been away.
-        is_asked : bool
+        is_serving : bool
             Whether any router asks: changes that cost work to be told are kept only then.
-        most_bytes : float
+        max_bytes : float
             What is larger is not told.
         """
         records = batch.records
-        if is_whole:
+        if is_snapshot:
             gone = self.newest.keys() - {record.key for record in records}
             records += tuple(FeedRecord(key, None) for key in gone)
-        is_kept = self.floor < batch.end and (self._teller.tells_all or is_asked)
+        is_kept = self.start_offset < batch.end and (
+            self._encoder.encodes_every_change or is_serving
+        )
         for record in records:
             known = self.newest.get(record.key)
             if known == record.value:
                 continue
             if is_kept:
-                told = self._teller.tell(record.key, known, record.value, most_bytes)
+                told = self._encoder.encode(record.key, known, record.value, max_bytes)
                 self._changes.append(_Change(batch.end, record.key, told, was_away))
-            self._set(record)
+            self._update_value(record)
         if not is_kept:
-            self._forget(batch.end)
-        while len(self._changes) > self._teller.kept_changes:
-            self.floor = self._changes.popleft().end
+            self._clear_changes(batch.end)
+        while len(self._changes) > self._encoder.max_changes:
+            self.start_offset = self._changes.popleft().end
 
-    def _set(self, record: FeedRecord[Value]) -> None:
+    def _update_value(self, record: FeedRecord[Value]) -> None:
         if record.value is None:
             del self.newest[record.key]
         else:
             self.newest[record.key] = record.value
 
-    def _forget(self, end: int) -> None:
+    def _clear_changes(self, end: int) -> None:
         self._changes.clear()
-        self.floor = end
+        self.start_offset = end
 
     def covers(self, offset: int) -> bool:
         """Whether all that has changed since an offset is known."""
-        return 0 <= self.floor <= offset
+        return 0 <= self.start_offset <= offset
 
-    def has_changed(self, offset: int) -> bool:
+    def has_changed_since(self, offset: int) -> bool:
         """Whether anything has, since an offset that is covered."""
         return bool(self._changes) and self._changes[-1].end > offset
 
-    def add_to(self, reply: ViewReply, offset: int) -> ViewReply:
+    def add_changes_to_reply(self, reply: ViewReply, offset: int) -> ViewReply:
         """Return a reply that tells what has changed since an offset that is covered."""
         news = [each for each in self._changes if each.end > offset]
         if not news:
             return reply
-        reply = self._teller.add(reply, [(each.key, each.told) for each in news])
+        reply = self._encoder.add_to_reply(reply, [(each.key, each.encoded) for each in news])
         return replace(reply, is_after_outage=any(each.was_away for each in news))
--- a/umberhitch/tasks/direct/crash_guard.py
+++ b/umberhitch/tasks/direct/crash_guard.py
@@ -92,7 +92,7 @@
 
         def take(found: ListenerStatus) -> None:
             if found is ListenerStatus.YES:
-                self.probing.ask(permit.key, place_of(endpoint), lease_s, done)
+                self.probing.request_probe(permit.key, place_of(endpoint), lease_s, done)
             else:
                 self._on_unreachable(endpoint, found is ListenerStatus.NO)
                 done(ABSENT_RETRY_S)
@@ -181,6 +181,6 @@
             case CrashUpdate():
                 self.sharing.receive(message)
             case ProbeRequest():
-                self.probing.on_ask(sender, message)
+                self.probing.handle_request(sender, message)
             case ProbeReply():
-                self.probing.on_reply(message)
+                self.probing.handle_reply(message)
--- a/umberhitch/tasks/direct/feeds.py
+++ b/umberhitch/tasks/direct/feeds.py
@@ -16,21 +16,21 @@
 from umberhitch.ports.clock import Clock, pause
 from umberhitch.ports.direct import FeedBatch, FeedPort
 
-__all__ = ["Feed", "FeedPace"]
+__all__ = ["Feed", "FeedTiming"]
 
 log = getLogger(__name__)
 
 Value = TypeVar("Value")
 
-FRESH_S = 1.0
+FRESHNESS_MARGIN_S = 1.0
 """A view that is so much older than a call may be held is not fresh: the process stood still."""
-FROZEN_S = 0.3
+FROZEN_MARGIN_S = 0.3
 """A call that took so much longer than it may was not late: the process stood still meanwhile."""
 RESTART_S = 1.0
 """Pause before a feed that ended by an error begins anew: the error does not fill the log."""
 
 
-class FeedPace:
+class FeedTiming:
     """Times of a feed, in seconds.
 
     Parameters
@@ -53,12 +53,12 @@
         wait_s: float,
         pause_s: float,
         retry_s: float = 0.15,
-        patience_s: tuple[float, ...] = (1.0, 0.35, 0.35),
+        timeouts_s: tuple[float, ...] = (1.0, 0.35, 0.35),
     ) -> None:
         self.wait_s = wait_s
         self.pause_s = pause_s
         self.retry_s = retry_s
-        self.patience_s = patience_s
+        self.timeouts_s = timeouts_s
 
 
 class Feed(Generic[Value]):
@@ -71,7 +71,7 @@
     port : FeedPort
     clock : Clock
     rng : Random
-    pace : FeedPace
+    pace : FeedTiming
     on_all : callable
         Takes the newest record of every key; what is not in it is gone.
     on_records : callable
@@ -96,9 +96,9 @@
         port: FeedPort[Value],
         clock: Clock,
         rng: Random,
-        pace: FeedPace,
-        on_all: Callable[[FeedBatch[Value]], None],
-        on_records: Callable[[FeedBatch[Value], bool], None],
+        timing: FeedTiming,
+        on_snapshot: Callable[[FeedBatch[Value]], None],
+        on_changes: Callable[[FeedBatch[Value], bool], None],
     ) -> None:
         self.name = name
         self.proved_s: float | None = None
@@ -107,15 +107,15 @@
         self._port = port
         self._clock = clock
         self._rng = rng
-        self._pace = pace
-        self._on_all = on_all
-        self._on_records = on_records
-        self.on_taken: Callable[[FeedBatch[Value], bool, bool], None] = _tell_nobody
+        self._timing = timing
+        self._on_snapshot = on_snapshot
+        self._on_changes = on_changes
+        self.on_applied: Callable[[FeedBatch[Value], bool, bool], None] = _ignore_batch
         self._is_stopped = False
         self._failed_since_s: float | None = None
-        self._back_s = float("-inf")
+        self._recovered_s = float("-inf")
 
-    AWAY_S = 3.0
+    LAPSE_GRACE_S = 3.0
     """So long after the store came back, entries that lapsed meanwhile may still return."""
 
     def start(self) -> None:
@@ -126,7 +126,7 @@
         """Follow no more."""
         self._is_stopped = True
 
-    def note_news(self) -> None:
+    def mark_behind(self) -> None:
         """Take note that there is something newer than what has been taken."""
         if self.behind_since_s is None:
             self.behind_since_s = self._clock.seconds()
@@ -142,11 +142,11 @@
         failures = 0
         while not self._is_stopped:
             called_s = self._clock.seconds()
-            patience_s = self._pace.patience_s[failures % len(self._pace.patience_s)]
+            patience_s = self._timing.timeouts_s[failures % len(self._timing.timeouts_s)]
             try:
                 if is_whole:
                     # With a fresh view let the store hold the call, else know at once what stands.
-                    wait_s = self._pace.wait_s if self._is_fresh() else 0.0
+                    wait_s = self._timing.wait_s if self._is_fresh() else 0.0
                     batch = await self._port.since(self.offset, wait_s, patience_s)
                 else:
                     batch = await self._port.newest(patience_s)
@@ -159,67 +159,67 @@
                 continue
             except LogError as exc:
                 is_broken_off = isinstance(exc, LogBrokenOffError)  # a long read, then
-                if not is_broken_off and self._stood_still(called_s, patience_s):
+                if not is_broken_off and self._was_frozen(called_s, patience_s):
                     continue
                 failures += 1
                 self._note_failure(exc)
-                await pause(self._clock, self._pace.retry_s * (0.5 + self._rng.random()))
+                await pause(self._clock, self._timing.retry_s * (0.5 + self._rng.random()))
                 continue
             failures = 0
-            self._note_back()
-            self._take(batch, is_whole, called_s)
+            self._note_recovery()
+            self._apply(batch, is_whole, called_s)
             is_whole = True
             if self._is_fresh():
                 pause_s = (
-                    self._pace.pause_s
+                    self._timing.pause_s
                     if batch.next_call_delay_s is None
                     else batch.next_call_delay_s
                 )
                 await pause(self._clock, pause_s)
 
-    def _take(self, batch: FeedBatch[Value], is_further: bool, called_s: float) -> None:
+    def _apply(self, batch: FeedBatch[Value], is_further: bool, called_s: float) -> None:
         if self._is_stopped:
             return
-        was_away = batch.is_after_outage or self._was_away()
+        was_away = batch.is_after_outage or self._has_recovered_lately()
         if is_further:
-            self._on_records(batch, was_away)
+            self._on_changes(batch, was_away)
         else:
-            self._on_all(batch)
+            self._on_snapshot(batch)
         self.offset = batch.end
         self.behind_since_s = None
         proved_s = called_s if batch.as_of_s is None else batch.as_of_s
         self.proved_s = proved_s if self.proved_s is None else max(self.proved_s, proved_s)
-        self.on_taken(batch, not is_further, was_away)
+        self.on_applied(batch, not is_further, was_away)
 
-    def _stood_still(self, called_s: float, patience_s: float) -> bool:
-        longest_s = self._pace.wait_s + patience_s + FROZEN_S
+    def _was_frozen(self, called_s: float, patience_s: float) -> bool:
+        longest_s = self._timing.wait_s + patience_s + FROZEN_MARGIN_S
         return self._clock.seconds() - called_s > longest_s
 
     def _is_fresh(self) -> bool:
         if self._failed_since_s is not None or self.proved_s is None:
             return False
-        return self._clock.seconds() - self.proved_s <= self._pace.wait_s + FRESH_S
+        return self._clock.seconds() - self.proved_s <= self._timing.wait_s + FRESHNESS_MARGIN_S
 
     @property
     def is_failing(self) -> bool:
         """Whether the last call failed."""
         return self._failed_since_s is not None
 
-    def _was_away(self) -> bool:
-        return self._clock.seconds() - self._back_s < self.AWAY_S
+    def _has_recovered_lately(self) -> bool:
+        return self._clock.seconds() - self._recovered_s < self.LAPSE_GRACE_S
 
     def _note_failure(self, exc: LogError) -> None:
         if self._failed_since_s is None:
             self._failed_since_s = self._clock.seconds()
             log.warning("store lost", extra={"feed": self.name, "error": str(exc)})
 
-    def _note_back(self) -> None:
+    def _note_recovery(self) -> None:
         if self._failed_since_s is not None:
-            self._back_s = self._clock.seconds()
-            away_s = self._back_s - self._failed_since_s
+            self._recovered_s = self._clock.seconds()
+            away_s = self._recovered_s - self._failed_since_s
             self._failed_since_s = None
             log.info("store regained", extra={"feed": self.name, "away_s": round(away_s, 3)})
 
 
-def _tell_nobody(batch: FeedBatch[Any], is_whole: bool, was_away: bool) -> None:
+def _ignore_batch(batch: FeedBatch[Any], is_whole: bool, was_away: bool) -> None:
     """Do nothing: no one follows."""
--- a/umberhitch/tasks/direct/gateway.py
+++ b/umberhitch/tasks/direct/gateway.py
@@ -184,7 +184,7 @@
         on_idle : callable
             Called when after that every request that was read has its answer.
         """
-        self.presence.leave(on_noticed, on_idle)
+        self.presence.drain(on_noticed, on_idle)
 
     def _on_endpoints(self, gone: list[str]) -> None:
         for address in gone:
@@ -215,7 +215,7 @@
 
     def keeps_connections(self) -> bool:
         """Whether connections are kept after an answer."""
-        return not self.presence.is_leaving
+        return not self.presence.is_draining
 
     def refuse_unread(self, status: int, problem: str) -> tuple[HeaderList, bytes]:
         """Return headers and body of an answer to a request that was not taken."""
@@ -357,7 +357,7 @@
         is_failure = outcome != "done"
         self._count_burn(exchange, outcome)
         self.decided(exchange, "request ended", is_failure, outcome=outcome, elapsed_s=elapsed_s)
-        self.presence.look_idle()
+        self.presence.check_idle()
 
     def _count_burn(self, exchange: RequestState, outcome: str) -> None:
         permit = exchange.permit
--- a/umberhitch/tasks/direct/gateway_limits.py
+++ b/umberhitch/tasks/direct/gateway_limits.py
@@ -11,7 +11,7 @@
     PlacementLimits,
     RetryBudgetLimits,
 )
-from umberhitch.tasks.direct.feeds import FeedPace
+from umberhitch.tasks.direct.feeds import FeedTiming
 from umberhitch.tasks.direct.services import ExchangeLimits
 
 __all__ = ["GatewayCounters", "GatewaySettings"]
@@ -51,9 +51,9 @@
     drain_s: float = 8.0
     drain_notice_s: float = 2.6
     good_share: float = 0.99
-    operator_pace: FeedPace = field(default_factory=lambda: FeedPace(wait_s=1.6, pause_s=0.05))
-    endpoint_pace: FeedPace = field(
-        default_factory=lambda: FeedPace(wait_s=0.0, pause_s=0.95, patience_s=(0.5, 0.35, 1.0))
+    operator_pace: FeedTiming = field(default_factory=lambda: FeedTiming(wait_s=1.6, pause_s=0.05))
+    endpoint_pace: FeedTiming = field(
+        default_factory=lambda: FeedTiming(wait_s=0.0, pause_s=0.95, timeouts_s=(0.5, 0.35, 1.0))
     )
     """Heartbeats come all the time, so calls are not held; one that is lost must not cost more than
     what is left of the 2 s in which an endpoint that leaves has to be known."""
--- a/umberhitch/tasks/direct/intake.py
+++ b/umberhitch/tasks/direct/intake.py
@@ -75,7 +75,7 @@
         return self._go_on(ask, permit, reply)
 
     def _admit(self, ask: CallerRequest, received_s: float) -> Permit | Refusal:
-        return self.admission.admit(ask, received_s, not self.presence.is_noticed)
+        return self.admission.admit(ask, received_s, not self.presence.is_drain_noticed)
 
     def _wait_for_proof(self, ask: CallerRequest, received_s: float, reply: CallerReply) -> Leave:
         """Wait a moment for the store's answer: the process stood still, and wakes."""
@@ -142,8 +142,8 @@
         longest time that they honour. With 0.5 s, 166 of 174 requests of the 2 s in which 32
         routers were restarted without a store were refused twice, and lost.
         """
-        if self.presence.is_leaving:
-            return self.presence.retry_s()
-        if not self.view.is_loaded and self.view.is_store_away:
+        if self.presence.is_draining:
+            return self.presence.retry_after_s()
+        if not self.view.is_loaded and self.view.is_store_unavailable:
             return max(STARTING_RETRY_S, HONOURED_SHARE * ask.patience_s)
         return STARTING_RETRY_S
--- a/umberhitch/tasks/direct/membership.py
+++ b/umberhitch/tasks/direct/membership.py
@@ -16,7 +16,7 @@
 from umberhitch.errors import LogError
 from umberhitch.ports.clock import Clock, pause
 from umberhitch.ports.direct import Member, MembersPort
-from umberhitch.tasks.direct.sharing import Sharing
+from umberhitch.tasks.direct.read_sharing import ReadSharing
 from umberhitch.wire import ViewReply, ViewRequest
 
 __all__ = ["MEMBERS_STREAM", "Membership", "MembershipLimits"]
@@ -46,15 +46,15 @@
     """
 
     ttl_s: float = 9.0
-    first_join_s: float = 0.4
+    first_join_pause_s: float = 0.4
     hold_s: float = 0.3
-    patience_s: float = 0.15
+    timeout_s: float = 0.15
 
     @property
-    def catch_up_s(self) -> float:
+    def propagation_s(self) -> float:
         """Time in which every router that keeps its seat hears of one that has come: its joins are
         not further apart, and each is followed by a look at the list."""
-        return 1.2 * self.ttl_s / 3 + self.hold_s + self.patience_s
+        return 1.2 * self.ttl_s / 3 + self.hold_s + self.timeout_s
 
 
 class Membership:
@@ -66,7 +66,7 @@
     clock : Clock
     rng : Random
     port : MembersPort
-    sharing : Sharing
+    sharing : ReadSharing
     on_members : callable
         Takes the newest list.
     limits : MembershipLimits
@@ -78,7 +78,7 @@
         clock: Clock,
         rng: Random,
         port: MembersPort,
-        sharing: Sharing,
+        sharing: ReadSharing,
         on_members: Callable[[list[Member]], None],
         limits: MembershipLimits | None = None,
     ) -> None:
@@ -90,15 +90,15 @@
         self._on_members = on_members
         self._limits = limits or MembershipLimits()
         self._members: list[Member] = []
-        self._listed = -1
+        self._generation = -1
         """Generation of the group that the list is not older than."""
         self._waiting: list[tuple[str, ViewRequest]] = []
         self._is_reading = False
         self._is_stopped = False
         self._joined_s: float | None = None
         """Since when this router has its seat."""
-        self._seat_until_s = float("-inf")
-        sharing.answerers[MEMBERS_STREAM] = self
+        self._lease_expires_s = float("-inf")
+        sharing.handlers[MEMBERS_STREAM] = self
 
     def start(self) -> None:
         """Join, and go on doing so."""
@@ -112,80 +112,80 @@
         leaving = ensureDeferred(self._port.leave(self._me))
         leaving.addErrback(lambda failure: log.info("not left", extra={"error": str(failure)}))
 
-    def is_settled(self) -> bool:
+    def is_known_to_peers(self) -> bool:
         """Whether this router has its seat, and the others have had the time to hear of it.
 
         Else they may go by a list on which it is not, and share among themselves what it takes for
         its own.
         """
         now_s = self._clock.seconds()
-        if self._joined_s is None or now_s >= self._seat_until_s:
+        if self._joined_s is None or now_s >= self._lease_expires_s:
             return False
-        return now_s >= self._joined_s + self._limits.catch_up_s
+        return now_s >= self._joined_s + self._limits.propagation_s
 
-    def _note_seat(self, called_s: float) -> None:
+    def _note_lease(self, called_s: float) -> None:
         """Take note that the store keeps the seat for so long after a call was sent."""
-        if self._joined_s is None or called_s >= self._seat_until_s:
+        if self._joined_s is None or called_s >= self._lease_expires_s:
             self._joined_s = self._clock.seconds()
-        self._seat_until_s = called_s + self._limits.ttl_s
+        self._lease_expires_s = called_s + self._limits.ttl_s
 
     async def _keep_joined(self) -> None:
         longest_s = self._limits.ttl_s / 3
-        pause_s = min(self._limits.first_join_s, longest_s)
+        pause_s = min(self._limits.first_join_pause_s, longest_s)
         while not self._is_stopped:
             try:
                 called_s = self._clock.seconds()
                 generation = await self._port.join(self._me, self._limits.ttl_s)
-                self._note_seat(called_s)
+                self._note_lease(called_s)
                 if not self._is_stopped:
-                    await self._catch_up(generation)
+                    await self._update_list(generation)
             except LogError as exc:
                 log.info("not joined", extra={"error": str(exc)})
             await pause(self._clock, pause_s * (0.8 + 0.4 * self._rng.random()))
             pause_s = min(2 * pause_s, longest_s)
 
-    async def _catch_up(self, generation: int) -> None:
+    async def _update_list(self, generation: int) -> None:
         """Have a list that is not older than a generation."""
-        if generation < self._listed:
-            self._listed = -1  # the store began the group anew
-        if generation <= self._listed:
+        if generation < self._generation:
+            self._generation = -1  # the store began the group anew
+        if generation <= self._generation:
             return
-        reader = self._sharing.reader(set())
-        if reader is not None and await self._ask(reader, generation):
+        reader = self._sharing.choose_reader(set())
+        if reader is not None and await self._request_list(reader, generation):
             return
         await self._read(generation)
 
-    async def _ask(self, reader: str, generation: int) -> bool:
+    async def _request_list(self, reader: str, generation: int) -> bool:
         """Ask a reader for the list; return whether it had one that is new enough."""
         limits = self._limits
-        reply = await self._sharing.ask(
-            reader, MEMBERS_STREAM, generation, limits.hold_s, limits.patience_s
+        reply = await self._sharing.request_changes(
+            reader, MEMBERS_STREAM, generation, limits.hold_s, limits.timeout_s
         )
         if reply is None or not reply.is_offset_known or reply.end < generation:
             return False
-        self._take([Member(name, address) for name, address in reply.members], reply.end)
+        self._apply([Member(name, address) for name, address in reply.members], reply.end)
         return True
 
     async def _read(self, generation: int) -> None:
         """Read the list from the store, which has reached the generation."""
         members = await self._port.members()
-        self._take(members, generation)
+        self._apply(members, generation)
 
-    def _take(self, members: list[Member], generation: int) -> None:
-        if self._is_stopped or generation < self._listed:
+    def _apply(self, members: list[Member], generation: int) -> None:
+        if self._is_stopped or generation < self._generation:
             return
-        self._listed = generation
+        self._generation = generation
         self._members = members
         self._on_members(members)
 
     # For others
 
-    def on_ask(self, sender: str, ask: ViewRequest) -> None:
+    def handle_request(self, sender: str, request: ViewRequest) -> None:
         """Tell a peer the list, if need be after one call to the store for all that wait."""
-        if ask.offset <= self._listed:
-            self._answer(sender, ask)
+        if request.offset <= self._generation:
+            self._answer(sender, request)
             return
-        self._waiting.append((sender, ask))
+        self._waiting.append((sender, request))
         if not self._is_reading:
             self._is_reading = True
             ensureDeferred(self._read_for_others()).addErrback(
@@ -197,14 +197,14 @@
             while self._waiting:
                 waiting, self._waiting = self._waiting, []
                 newest = max(ask.offset for _, ask in waiting)
-                if newest > self._listed:
-                    await self._read_or_tell(newest)
+                if newest > self._generation:
+                    await self._try_read(newest)
                 for sender, ask in waiting:
                     self._answer(sender, ask)
         finally:
             self._is_reading = False
 
-    async def _read_or_tell(self, generation: int) -> None:
+    async def _try_read(self, generation: int) -> None:
         """Read the list; those who wait are told at once if it cannot be had."""
         try:
             await self._read(generation)
@@ -213,7 +213,9 @@
 
     def _answer(self, sender: str, ask: ViewRequest) -> None:
         reply = ViewReply(ask.request_id, ask.incarnation, False)
-        if ask.offset <= self._listed:
+        if ask.offset <= self._generation:
             members = [(each.name, each.address) for each in self._members]
-            reply = ViewReply(ask.request_id, ask.incarnation, True, self._listed, members=members)
+            reply = ViewReply(
+                ask.request_id, ask.incarnation, True, self._generation, members=members
+            )
         self._sharing.send(sender, reply)
--- a/umberhitch/tasks/direct/peers.py
+++ b/umberhitch/tasks/direct/peers.py
@@ -16,7 +16,7 @@
 from umberhitch.ports.link import LinkPort
 from umberhitch.tasks.direct.gateway import Gateway
 from umberhitch.tasks.direct.membership import Membership, MembershipLimits
-from umberhitch.tasks.direct.sharing import Sharing
+from umberhitch.tasks.direct.read_sharing import ReadSharing
 from umberhitch.wire import (
     BurnReply,
     BurnRequest,
@@ -36,14 +36,14 @@
 
 log = getLogger(__name__)
 
-FAR_EVERY = 4
+REMOTE_REPORT_EVERY = 4
 """Of many peers, those in other availability zones get each fourth report only, but during a
 roll-out: calls mostly stay in their zone, and reports cross it."""
-AGAIN_S = 1.0
-AGAIN_PEERS = 2
+RESEND_INTERVAL_S = 1.0
+RESEND_PEERS = 2
 """Requests that are held are told again to so many peers that often. All routers do, so that each
 hears of them twice a second, whatever their number, at under 2 kB a second."""
-NEWS_S = 0.03
+UPDATE_DELAY_S = 0.03
 """Sessions that others would send to the other version, and states that were written to the store,
 are told together after this. With 28 peers a report goes out each 0.9 s; sessions whose next
 request came to another router sooner went there: 4 on a day, 10 of 200 within 0.1 s of an order."""
@@ -66,17 +66,17 @@
     membership : MembershipLimits
     """
 
-    report_s: float = 0.25
-    full_pace_peers: int = 8
+    report_interval_s: float = 0.25
+    full_rate_peers: int = 8
     silence_s: float = 2.0
-    missed_reports: float = 2.5
+    max_missed_reports: float = 2.5
     membership: MembershipLimits = MembershipLimits()
 
 
 @dataclass(slots=True)
-class _Heard:
+class _ReceivedReport:
     report: PeerReport
-    at_s: float
+    received_s: float
 
 
 class DirectPeers:
@@ -91,7 +91,7 @@
     rng : Random
     link : LinkPort
     members : MembersPort
-    sharing : Sharing
+    sharing : ReadSharing
     limits : DirectPeersLimits
     """
 
@@ -104,7 +104,7 @@
         rng: Random,
         link: LinkPort,
         members: MembersPort,
-        sharing: Sharing,
+        sharing: ReadSharing,
         limits: DirectPeersLimits | None = None,
     ) -> None:
         self._me = me
@@ -116,28 +116,28 @@
         self._sharing = sharing
         self._limits = limits or DirectPeersLimits()
         self._membership = Membership(
-            me, clock, rng, members, sharing, self._take_members, self._limits.membership
+            me, clock, rng, members, sharing, self._apply_members, self._limits.membership
         )
-        self._heard: dict[str, _Heard] = {}
-        self._left: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedReport] = {}
+        self._last_reports: dict[str, _ReceivedReport] = {}
         """Last words of peers that were leaving."""
-        self._known: dict[str, str] = {}
+        self._peers: dict[str, str] = {}
         self._link_mbps = {me.name: gateway.settings.link_mbps}
         self._seq = 0
         self._rounds = 0
         self._is_listed = False
         """Whether the peers are known that the store lists."""
         self._is_stopped = False
-        self._is_news_due = False
-        gateway.trials.follow(self.rank, self._tell_news_soon)
-        gateway.gate.follow(self._membership.is_settled)
-        gateway.gate.sharing.on_news = self._tell_news_soon
-        gateway.trials.old_running = self.old_running
-        gateway.presence.others_return_s = self.return_s
-        gateway.crashes.sharing.peers = self.names
+        self._is_update_due = False
+        gateway.trials.follow(self.rank, self._schedule_updates)
+        gateway.gate.follow(self._membership.is_known_to_peers)
+        gateway.gate.sharing.on_update = self._schedule_updates
+        gateway.trials.old_running = self.running_on_other_versions
+        gateway.presence.peer_available_in_s = self.peer_available_in_s
+        gateway.crashes.sharing.peers = self.peer_names
         gateway.crashes.sharing.send = link.send
-        gateway.crashes.sharing.on_news = self._tell_news_soon
-        sharing.peers = self.names
+        gateway.crashes.sharing.on_news = self._schedule_updates
+        sharing.peers = self.peer_names
         sharing.link_mbps = self.link_mbps
 
     def start(self) -> None:
@@ -145,37 +145,37 @@
         self._link.listen(self.receive)
         self._membership.start()
         self._report()
-        self._tell_again()
+        self._resend()
 
     def stop(self) -> None:
         """Report no more, and leave."""
         self._is_stopped = True
         self._membership.stop()
 
-    def _take_members(self, members: list[Member]) -> None:
+    def _apply_members(self, members: list[Member]) -> None:
         found = {each.name: each.address for each in members if each.name != self._me.name}
-        for name in [each for each in self._known if each not in found]:
+        for name in [each for each in self._peers if each not in found]:
             self._link.disconnect(name)
             self._link_mbps.pop(name, None)
         for name, address in found.items():
             self._link.connect(name, address)
-        came = found.keys() - self._known.keys()
-        self._known = found
+        came = found.keys() - self._peers.keys()
+        self._peers = found
         self._gateway.gate.shares.set_routers([self._me.name, *found])
         if came:
-            self._introduce(came)
+            self._send_full_state(came)
         self._is_listed = True
         self._gateway.budget.router_count = 1 + len(found)
         log.info("peers", extra={"names": sorted(found)})
 
-    def _introduce(self, names: Iterable[str]) -> None:
+    def _send_full_state(self, names: Iterable[str]) -> None:
         """Report to peers that are new here at once.
 
         They choose readers by the speeds of links that they were told: until then each takes
         itself for one, 25 reads a second of 80 routers that started together, else 7.
         """
         messages: list[Message] = [self._make_report(), *self._gateway.crashes.sharing.all_news()]
-        messages += self._gateway.gate.sharing.all_news()
+        messages += self._gateway.gate.sharing.all_updates()
         for name in names:
             for message in messages:
                 self._link.send(name, message)
@@ -192,7 +192,7 @@
             self._seq,
             uses,
             self._gateway.trials.reports(),
-            round(self._gateway.presence.returns_s(), 2),
+            round(self._gateway.presence.available_in_s(), 2),
             self._gateway.settings.zone,
             self._gateway.settings.link_mbps,
         )
@@ -200,77 +200,79 @@
     def _report(self) -> None:
         if self._is_stopped:
             return
-        self._add_up()
+        self._update_totals()
         report = self._make_report()
         self._rounds += 1
-        is_for_all = self._gateway.trials.is_any_open() or self._rounds % self._far_every() == 0
-        for name in self._known:
-            if is_for_all or not self._is_far(name):
+        is_for_all = (
+            self._gateway.trials.is_any_open() or self._rounds % self._remote_report_every() == 0
+        )
+        for name in self._peers:
+            if is_for_all or not self._is_remote(name):
                 self._link.send(name, report)
-        self._clock.callLater(self._report_s(), self._report)
+        self._clock.callLater(self._report_interval_s(), self._report)
 
-    def _tell_again(self) -> None:
+    def _resend(self) -> None:
         """Tell a few peers what stands: who lost the news has them from one of them."""
         if self._is_stopped:
             return
         self._gateway.gate.look()
         news: list[Message] = [*self._gateway.crashes.sharing.news_again()]
-        news += self._gateway.gate.sharing.news_again()
-        for name in self._rng.sample(list(self._known), min(AGAIN_PEERS, len(self._known))):
+        news += self._gateway.gate.sharing.updates_to_resend()
+        for name in self._rng.sample(list(self._peers), min(RESEND_PEERS, len(self._peers))):
             for message in news:
                 self._link.send(name, message)
-        self._clock.callLater(AGAIN_S, self._tell_again)
+        self._clock.callLater(RESEND_INTERVAL_S, self._resend)
 
-    def _report_s(self) -> float:
+    def _report_interval_s(self) -> float:
         """Return how often each peer is told."""
-        crowd = max(1.0, len(self._known) / self._limits.full_pace_peers)
-        return self._limits.report_s * crowd
+        crowd = max(1.0, len(self._peers) / self._limits.full_rate_peers)
+        return self._limits.report_interval_s * crowd
 
-    def _tell_news_soon(self) -> None:
-        if not self._is_news_due:
-            self._is_news_due = True
-            self._clock.callLater(NEWS_S, self._tell_news)
+    def _schedule_updates(self) -> None:
+        if not self._is_update_due:
+            self._is_update_due = True
+            self._clock.callLater(UPDATE_DELAY_S, self._send_updates)
 
-    def _tell_news(self) -> None:
+    def _send_updates(self) -> None:
         """Tell all peers what has just become known of roll-outs, crashes and limits."""
-        self._is_news_due = False
+        self._is_update_due = False
         messages: list[Message] = [*self._gateway.trials.take_news()]
         messages += self._gateway.crashes.sharing.take_news()
-        messages += self._gateway.gate.sharing.take_news()
+        messages += self._gateway.gate.sharing.pop_updates()
         for message in messages:
-            for name in self._known:
+            for name in self._peers:
                 self._link.send(name, message)
 
-    def _far_every(self) -> int:
+    def _remote_report_every(self) -> int:
         """Return which report goes to peers in other zones: each one where there are few peers."""
-        return FAR_EVERY if len(self._known) > self._limits.full_pace_peers else 1
+        return REMOTE_REPORT_EVERY if len(self._peers) > self._limits.full_rate_peers else 1
 
-    def _is_far(self, name: str) -> bool:
+    def _is_remote(self, name: str) -> bool:
         """Whether a peer has said that it is in another availability zone."""
-        heard = self._heard.get(name)
+        heard = self._received.get(name)
         return heard is not None and heard.report.zone != self._gateway.settings.zone
 
-    def _is_silent(self, heard: _Heard) -> bool:
+    def _is_silent(self, heard: _ReceivedReport) -> bool:
         is_far = heard.report.zone != self._gateway.settings.zone
         limits = self._limits
-        silence_s = max(limits.silence_s, limits.missed_reports * self._report_s())
-        silence_s *= self._far_every() if is_far else 1
-        return heard.at_s < self._clock.seconds() - silence_s
+        silence_s = max(limits.silence_s, limits.max_missed_reports * self._report_interval_s())
+        silence_s *= self._remote_report_every() if is_far else 1
+        return heard.received_s < self._clock.seconds() - silence_s
 
-    def live(self) -> list[PeerReport]:
+    def live_reports(self) -> list[PeerReport]:
         """Return the newest reports of the peers that were heard lately."""
-        for name in [n for n, heard in self._heard.items() if self._is_silent(heard)]:
-            heard = self._heard.pop(name)
+        for name in [n for n, heard in self._received.items() if self._is_silent(heard)]:
+            heard = self._received.pop(name)
             if heard.report.retry_after_s:
-                self._left[name] = heard
-        return [heard.report for heard in self._heard.values()]
+                self._last_reports[name] = heard
+        return [heard.report for heard in self._received.values()]
 
-    def names(self) -> list[str]:
+    def peer_names(self) -> list[str]:
         """Return the names of the peers that the store lists.
 
         With many routers each is heard too seldom to go by that.
         """
-        return list(self._known)
+        return list(self._peers)
 
     def link_mbps(self, name: str) -> float:
         """Return the bandwidth of a router's link as it last said, 0 where it never did."""
@@ -285,21 +287,27 @@
         if not self._is_listed:
             return None
         own = xxh3_64_intdigest(self._me.name.encode())
-        return sum(xxh3_64_intdigest(name.encode()) < own for name in self._known)
+        return sum(xxh3_64_intdigest(name.encode()) < own for name in self._peers)
 
-    def return_s(self) -> float:
+    def peer_available_in_s(self) -> float:
         """Return the time until a peer takes streams: 0 where one does, or none was heard.
 
         A peer that said when it will be back is believed until then, also while it is silent.
         """
         now_s = self._clock.seconds()
-        back_s = {n: each.at_s + each.report.retry_after_s for n, each in self._left.items()}
-        self._left = {n: each for n, each in self._left.items() if back_s[n] > now_s}
-        heard = [each.at_s + each.report.retry_after_s for each in self._heard.values()]
-        waits = [max(0.0, each - now_s) for each in (*heard, *(back_s[n] for n in self._left))]
+        back_s = {
+            n: each.received_s + each.report.retry_after_s for n, each in self._last_reports.items()
+        }
+        self._last_reports = {
+            n: each for n, each in self._last_reports.items() if back_s[n] > now_s
+        }
+        heard = [each.received_s + each.report.retry_after_s for each in self._received.values()]
+        waits = [
+            max(0.0, each - now_s) for each in (*heard, *(back_s[n] for n in self._last_reports))
+        ]
         return min(waits, default=0.0)
 
-    def old_running(self, service: str, version: str) -> int:
+    def running_on_other_versions(self, service: str, version: str) -> int:
         """Return how many calls run on a service's endpoints that are not of a version."""
         gateway = self._gateway
         old = {
@@ -309,25 +317,28 @@
         }
         own = sum(gateway.placement.running_calls(each) for each in old)
         theirs = sum(
-            use.running for report in self.live() for use in report.uses if use.lifetime in old
+            use.running
+            for report in self.live_reports()
+            for use in report.uses
+            if use.lifetime in old
         )
         return own + theirs
 
-    def _add_up(self) -> None:
+    def _update_totals(self) -> None:
         """Hand over what all peers together have under way on each endpoint."""
-        reports = self.live()
+        reports = self.live_reports()
         totals: dict[str, EndpointUse] = {}
         for report in reports:
             for use in report.uses:
                 known = totals.get(use.lifetime)
-                totals[use.lifetime] = use if known is None else _sum(known, use)
+                totals[use.lifetime] = use if known is None else _add_uses(known, use)
         now_s = self._clock.seconds()
         for lifetime in self._gateway.directory.lifetimes():
             use = totals.get(lifetime, EndpointUse(lifetime, 0, 0.0))
             self._gateway.placement.update_peer_load(
                 lifetime, use.running, use.reading_s, use.rank, now_s
             )
-        routers = 1 + max(len(reports), len(self._known))
+        routers = 1 + max(len(reports), len(self._peers))
         if self._is_listed:
             self._gateway.budget.router_count = routers
         self._gateway.demand.router_count = routers
@@ -337,7 +348,7 @@
         for message in messages:
             match message:
                 case PeerReport():
-                    self._on_report(message)
+                    self._handle_report(message)
                 case BurnRequest() if self._gateway.burn is not None:
                     self._gateway.burn.answer(sender, message)
                 case BurnReply() if self._gateway.burn is not None:
@@ -353,18 +364,18 @@
                 case _:
                     log.warning("unexpected message", extra={"kind": type(message).__name__})
 
-    def _on_report(self, report: PeerReport) -> None:
-        known = self._heard.get(report.router)
+    def _handle_report(self, report: PeerReport) -> None:
+        known = self._received.get(report.router)
         order = (report.incarnation, report.seq)
         if known is not None and order <= (known.report.incarnation, known.report.seq):
             return
-        self._heard[report.router] = _Heard(report, self._clock.seconds())
+        self._received[report.router] = _ReceivedReport(report, self._clock.seconds())
         self._link_mbps[report.router] = report.link_mbps
-        self._left.pop(report.router, None)
+        self._last_reports.pop(report.router, None)
         self._gateway.trials.take(f"{report.router}.{report.incarnation}", report.canaries)
 
 
-def _sum(one: EndpointUse, other: EndpointUse) -> EndpointUse:
+def _add_uses(one: EndpointUse, other: EndpointUse) -> EndpointUse:
     return EndpointUse(
         one.lifetime,
         one.running + other.running,
--- a/umberhitch/tasks/direct/presence.py
+++ b/umberhitch/tasks/direct/presence.py
@@ -9,7 +9,7 @@
 
 RESTART_S = 0.7
 """From the end of a process to where the next one takes requests; measured 0.5 to 0.7 s."""
-NOTICED_S = 1.2
+BALANCER_NOTICE_S = 1.2
 """Time in which the balancer notices that a router is ready: it looks once a second."""
 
 
@@ -47,52 +47,52 @@
         self._notice_s = notice_s
         self._is_loaded = is_loaded
         self._is_busy = is_busy
-        self._leave_by_s = 0.0
+        self._drain_deadline_s = 0.0
         self._ready_since_s: float | None = None
         self._on_idle: Callable[[], None] | None = None
-        self.is_leaving = False
-        self.is_noticed = False
+        self.is_draining = False
+        self.is_drain_noticed = False
         """Whether the balancer has noticed that it leaves."""
-        self.others_return_s: Callable[[], float] = lambda: 0.0
+        self.peer_available_in_s: Callable[[], float] = lambda: 0.0
 
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        return self._is_loaded() and not self.is_leaving
+        return self._is_loaded() and not self.is_draining
 
-    def leave(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
+    def drain(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
         """Begin to leave; see `Gateway.leave`."""
-        self.is_leaving = True
-        self._leave_by_s = self._clock.seconds() + self._drain_s
+        self.is_draining = True
+        self._drain_deadline_s = self._clock.seconds() + self._drain_s
         self._on_idle = on_idle
         self._clock.callLater(self._notice_s, self._note_noticed, on_noticed)
 
     def _note_noticed(self, on_noticed: Callable[[], None]) -> None:
-        self.is_noticed = True
+        self.is_drain_noticed = True
         on_noticed()
-        self.look_idle()
+        self.check_idle()
 
-    def look_idle(self) -> None:
+    def check_idle(self) -> None:
         """Say so if it leaves and every request that was read has its answer."""
-        if self._on_idle is not None and self.is_noticed and not self._is_busy():
+        if self._on_idle is not None and self.is_drain_noticed and not self._is_busy():
             on_idle, self._on_idle = self._on_idle, None
             on_idle()
 
-    def returns_s(self) -> float:
+    def available_in_s(self) -> float:
         """Return the time until callers reach this router and it takes streams; 0 where they do."""
         now_s = self._clock.seconds()
-        if self.is_leaving:
-            return max(0.0, self._leave_by_s - now_s) + RESTART_S
+        if self.is_draining:
+            return max(0.0, self._drain_deadline_s - now_s) + RESTART_S
         if self._ready_since_s is None and self.is_ready:
             self._ready_since_s = now_s
         since_s = now_s if self._ready_since_s is None else self._ready_since_s
-        return max(0.0, since_s + NOTICED_S - now_s)
+        return max(0.0, since_s + BALANCER_NOTICE_S - now_s)
 
-    def retry_s(self) -> float:
+    def retry_after_s(self) -> float:
         """Return when a stream that is refused since this router leaves should come back.
 
         At once where a peer takes streams, else when the first router does. While all are
         restarted in turn, those that came back at once were refused twice: 61 of 5,400 requests
         with three routers 2 s apart, 20 since.
         """
-        return max(LEAST_RETRY_S, min(self.returns_s(), self.others_return_s()))
+        return max(LEAST_RETRY_S, min(self.available_in_s(), self.peer_available_in_s()))
--- a/umberhitch/tasks/direct/probing.py
+++ b/umberhitch/tasks/direct/probing.py
@@ -15,19 +15,19 @@
 
 __all__ = ["Probing"]
 
-ANSWER_S = 0.15
+REPLY_TIMEOUT_S = 0.15
 """Longest wait for the router that decides. One in the same region answers within some ms, one in
 another region within 0.1 s."""
-SILENT_RETRY_S = 1.0
+NO_REPLY_RETRY_S = 1.0
 """Time to come back that is named where it did not answer: it may be one that has just ended, and
 others take its place within some seconds."""
 
-Done = Callable[[float | None], None]
+OnDecision = Callable[[float | None], None]
 
 
 @dataclass(slots=True)
-class _Asked:
-    done: Done
+class _PendingProbe:
+    on_decision: OnDecision
     timer: Timer
 
 
@@ -46,57 +46,59 @@
         self._name = name
         self._clock = clock
         self._sharing = sharing
-        self._asked: dict[int, _Asked] = {}
-        self._number = 0
+        self._pending: dict[int, _PendingProbe] = {}
+        self._last_request_id = 0
 
-    def ask(self, key: str, place: str, lease_s: float, done: Done) -> None:
+    def request_probe(
+        self, key: str, service_version: str, lease_s: float, on_decision: OnDecision
+    ) -> None:
         """Ask to run a request that is held.
 
         Parameters
         ----------
         key : str
-        place : str
+        service_version : str
             Service and version that would run it.
         lease_s : float
             How long the run lasts at most.
-        done : callable
+        on_decision : callable
             Called with None where it may be run, else with the time to come back, perhaps at once.
         """
         arbiter = self._sharing.arbiter(key)
         if arbiter == self._name:
-            done(self._decide(key, place, lease_s))
+            on_decision(self._decide(key, service_version, lease_s))
             return
-        self._number += 1
-        number = self._number
-        timer = self._clock.callLater(ANSWER_S, self._finish, number, SILENT_RETRY_S)
-        self._asked[number] = _Asked(done, timer)
+        self._last_request_id += 1
+        number = self._last_request_id
+        timer = self._clock.callLater(REPLY_TIMEOUT_S, self._finish, number, NO_REPLY_RETRY_S)
+        self._pending[number] = _PendingProbe(on_decision, timer)
         for news in self._sharing.news_of(key):
             self._sharing.send(arbiter, news)  # it may not have heard of it
-        self._sharing.send(arbiter, ProbeRequest(number, key, place, lease_s))
+        self._sharing.send(arbiter, ProbeRequest(number, key, service_version, lease_s))
 
-    def _decide(self, key: str, place: str, lease_s: float) -> float | None:
+    def _decide(self, key: str, service_version: str, lease_s: float) -> float | None:
         now_s = self._clock.seconds()
-        hold = self._sharing.record.hold(key, now_s, place)
+        hold = self._sharing.record.hold(key, now_s, service_version)
         if hold is None:
             return None
         if hold.until_s > now_s:
             return hold.until_s - now_s
-        self._sharing.probed(key, place, hold.probes + 1, lease_s)
+        self._sharing.probed(key, service_version, hold.probes + 1, lease_s)
         return None
 
-    def on_ask(self, sender: str, message: ProbeRequest) -> None:
+    def handle_request(self, sender: str, message: ProbeRequest) -> None:
         """Decide on a probe that another router asks for."""
         retry_s = self._decide(message.key, message.service_version, message.lease_s)
         self._sharing.send(sender, ProbeReply(message.request_id, retry_s is None, retry_s or 0.0))
 
-    def on_reply(self, message: ProbeReply) -> None:
+    def handle_reply(self, message: ProbeReply) -> None:
         """Take the answer to an ask of this router."""
         self._finish(message.request_id, None if message.is_granted else message.retry_after_s)
 
     def _finish(self, number: int, retry_s: float | None) -> None:
-        asked = self._asked.pop(number, None)
+        asked = self._pending.pop(number, None)
         if asked is None:
             return
         if asked.timer.active():
             asked.timer.cancel()
-        asked.done(retry_s)
+        asked.on_decision(retry_s)
--- a/umberhitch/tasks/direct/sharing.py
+++ b/umberhitch/tasks/direct/read_sharing.py
@@ -20,13 +20,13 @@
 from umberhitch.ports.clock import Clock, Timer
 from umberhitch.wire import Message, ViewReply, ViewRequest
 
-__all__ = ["READER_GROUP", "Answerer", "Sharing", "StreamName"]
+__all__ = ["READER_GROUP", "ReadSharing", "StreamName", "ViewRequestHandler"]
 
 READER_GROUP = 32
 """Routers for which one reads. It answers some 4 asks a second for each, at some 0.1 ms."""
-TELL_S = 0.5
+MAX_SEND_S = 0.5
 """A change is told where the reader's link carries it to all in this time; else they read it."""
-UNKNOWN_LINK_MBPS = 10.0
+DEFAULT_LINK_MBPS = 10.0
 """Taken for the link's bandwidth where the settings do not name it."""
 
 
@@ -37,22 +37,22 @@
     REGISTRY = "registry"
 
 
-class Answerer(Protocol):
+class ViewRequestHandler(Protocol):
     """Answers what peers ask of one stream."""
 
-    def on_ask(self, sender: str, ask: ViewRequest) -> None:
+    def handle_request(self, sender: str, request: ViewRequest) -> None:
         """Answer, at once or later."""
         ...
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingRequest:
     done: "Deferred[ViewReply | None]"
     timer: Timer
 
 
 @dataclass(slots=True)
-class Sharing:
+class ReadSharing:
     """The link's side: sends asks and replies, and knows whom to ask.
 
     Attributes
@@ -76,34 +76,34 @@
     send: Callable[[str, Message], None]
     peers: Callable[[], list[str]] = list
     link_mbps: Callable[[str], float] = lambda name: 0.0
-    answerers: dict[str, Answerer] = field(default_factory=dict)
+    handlers: dict[str, ViewRequestHandler] = field(default_factory=dict)
     """By stream."""
-    _asked: dict[int, _Asked] = field(default_factory=dict)
-    _last_ask: int = 0
+    _pending: dict[int, _PendingRequest] = field(default_factory=dict)
+    _last_request_id: int = 0
 
-    def names(self) -> list[str]:
+    def peer_names(self) -> list[str]:
         """Return the names of the peers that the store lists."""
         return self.peers()
 
-    def tell_bytes(self) -> float:
+    def max_change_bytes(self) -> float:
         """Return how large a change may be that is told, so that all peers have it in time."""
-        link_bytes_per_s = (self.link_mbps(self.name) or UNKNOWN_LINK_MBPS) * 1e6 / 8
-        return link_bytes_per_s * TELL_S / max(1, len(self.peers()))
+        link_bytes_per_s = (self.link_mbps(self.name) or DEFAULT_LINK_MBPS) * 1e6 / 8
+        return link_bytes_per_s * MAX_SEND_S / max(1, len(self.peers()))
 
-    def reader(self, shunned: set[str], among_others: bool = False) -> str | None:
+    def choose_reader(self, excluded: set[str], excludes_self: bool = False) -> str | None:
         """Return who reads for this router, or None if it reads itself.
 
         Those with the fastest links read: what they read the others wait for.
 
         Parameters
         ----------
-        shunned : set of str
+        excluded : set of str
             Peers that are not asked.
-        among_others : bool
+        excludes_self : bool
             Whether this router does not read itself.
         """
-        own = set() if among_others else {self.name}
-        names = sorted({self.name, *self.peers()} - shunned | own)
+        own = set() if excludes_self else {self.name}
+        names = sorted({self.name, *self.peers()} - excluded | own)
         if not names:
             return None
         fastest = sorted(names, key=lambda name: (-self.link_mbps(name), name))
@@ -113,41 +113,41 @@
         place = sum(name < self.name for name in names)
         return readers[place % len(readers)]
 
-    def any_peer(self) -> str | None:
+    def random_peer(self) -> str | None:
         """Return a peer by chance, or None."""
         names = self.peers()
         return self.rng.choice(sorted(names)) if names else None
 
-    def ask(
+    def request_changes(
         self,
         peer: str,
         stream: str,
         offset: int,
         hold_s: float,
-        patience_s: float,
+        timeout_s: float,
         is_patient: bool = False,
     ) -> "Deferred[ViewReply | None]":
         """Ask a peer what has changed; the result is None where no answer comes in time."""
-        self._last_ask += 1
-        number = self._last_ask
+        self._last_request_id += 1
+        number = self._last_request_id
         done: Deferred[ViewReply | None] = Deferred()
-        timer = self.clock.callLater(hold_s + patience_s, self._give_up, number)
-        self._asked[number] = _Asked(done, timer)
+        timer = self.clock.callLater(hold_s + timeout_s, self._time_out, number)
+        self._pending[number] = _PendingRequest(done, timer)
         self.send(peer, ViewRequest(number, self.incarnation, stream, offset, hold_s, is_patient))
         return done
 
-    def _give_up(self, number: int) -> None:
-        self._asked.pop(number).done.callback(None)
+    def _time_out(self, number: int) -> None:
+        self._pending.pop(number).done.callback(None)
 
     def receive(self, sender: str, message: ViewRequest | ViewReply) -> None:
         """Handle what a peer sent."""
         match message:
             case ViewRequest():
-                answerer = self.answerers.get(message.stream)
+                answerer = self.handlers.get(message.stream)
                 if answerer is not None:
-                    answerer.on_ask(sender, message)
+                    answerer.handle_request(sender, message)
             case ViewReply() if message.incarnation == self.incarnation:
-                asked = self._asked.pop(message.request_id, None)
+                asked = self._pending.pop(message.request_id, None)
                 if asked is not None:
                     asked.timer.cancel()
                     asked.done.callback(message)
--- a/umberhitch/tasks/direct/send_gate.py
+++ b/umberhitch/tasks/direct/send_gate.py
@@ -116,7 +116,7 @@
     def forget(self, lifetimes: Iterable[str]) -> None:
         """Keep only what concerns endpoints that are still known."""
         keep = set(lifetimes)
-        self.sharing.forget(keep)
+        self.sharing.retain(keep)
         self.shares.forget(keep)
         self.limits.forget(keep)
         self.closed.forget(keep, self._clock.seconds())
@@ -266,7 +266,7 @@
             lifetime, now_s, OWN_WORD, now_s
         ):
             self._has_left(lifetime, OWN_WORD)
-            self.sharing.has_left(lifetime)
+            self.sharing.note_draining(lifetime)
         self._hear_rest(lifetime, head, now_s)
         self._hear_limit(lifetime, head, now_s)
 
@@ -290,7 +290,7 @@
         change = self.limits.apply_answer(lifetime, rate, now_s)
         if change is not LimitChange.NONE:
             self._limit_changed(lifetime, change, OWN_WORD)
-            self.sharing.limit_changed(lifetime)
+            self.sharing.note_limit_changed(lifetime)
 
     def _limit_changed(self, lifetime: str, change: LimitChange, source: str) -> None:
         limit = self.limits.get(lifetime)
--- a/umberhitch/tasks/direct/signal_sharing.py
+++ b/umberhitch/tasks/direct/signal_sharing.py
@@ -17,16 +17,16 @@
 
 log = getLogger(__name__)
 
-MAX_AGAIN = 12
+MAX_RESENT = 12
 """Endpoints that are told of again at a time, in turn: some 0.6 kB."""
-NEWS_EACH_S = 1.0
+MIN_UPDATE_INTERVAL_S = 1.0
 """A change of one endpoint's limit is told at once no more often: one that goes and returns each
 moment is told again with the others, and its senders hear it themselves."""
-MAX_TOLD = 2_000
+MAX_MESSAGE_ENDPOINTS = 2_000
 """Endpoints in one message, some 50 bytes each."""
 
 OnLimit = Callable[[str, LimitChange, str], None]
-OnLeaving = Callable[[str, str], None]
+OnDraining = Callable[[str, str], None]
 
 
 class SignalSharing:
@@ -54,54 +54,56 @@
         limits: AdvertisedLimits,
         closed: ClosedEndpoints,
         on_limit: OnLimit,
-        on_leaving: OnLeaving,
+        on_draining: OnDraining,
     ) -> None:
-        self.on_news: Callable[[], None] = do_nothing
+        self.on_update: Callable[[], None] = do_nothing
         self._clock = clock
         self._limits = limits
         self._closed = closed
         self._on_limit = on_limit
-        self._on_leaving = on_leaving
-        self._news: set[str] = set()
-        self._told_s: dict[str, float] = {}
+        self._on_draining = on_draining
+        self._pending: set[str] = set()
+        self._sent_s: dict[str, float] = {}
         """By lifetime, when the last change of its limit was told at once."""
-        self._turn = 0
+        self._next_index = 0
 
-    def forget(self, known: set[str]) -> None:
+    def retain(self, known: set[str]) -> None:
         """Keep only what concerns endpoints that are still known."""
-        self._told_s = {name: at_s for name, at_s in self._told_s.items() if name in known}
+        self._sent_s = {name: at_s for name, at_s in self._sent_s.items() if name in known}
 
-    def limit_changed(self, lifetime: str) -> None:
+    def note_limit_changed(self, lifetime: str) -> None:
         """Take note that an answer has changed what is known of an endpoint's limit."""
         now_s = self._clock.seconds()
-        if now_s >= self._told_s.get(lifetime, -inf) + NEWS_EACH_S:
-            self._told_s[lifetime] = now_s
-            self._tell_soon(lifetime)
+        if now_s >= self._sent_s.get(lifetime, -inf) + MIN_UPDATE_INTERVAL_S:
+            self._sent_s[lifetime] = now_s
+            self._queue_update(lifetime)
 
-    def has_left(self, lifetime: str) -> None:
+    def note_draining(self, lifetime: str) -> None:
         """Take note that an answer has said that an endpoint leaves."""
-        self._tell_soon(lifetime)
+        self._queue_update(lifetime)
 
-    def _tell_soon(self, lifetime: str) -> None:
-        self._news.add(lifetime)
-        self.on_news()
+    def _queue_update(self, lifetime: str) -> None:
+        self._pending.add(lifetime)
+        self.on_update()
 
-    def take_news(self) -> list[EndpointUpdate]:
+    def pop_updates(self) -> list[EndpointUpdate]:
         """Return what the peers are to be told at once, and were not."""
-        news, self._news = self._news, set()
-        return self._tell(sorted(news))
+        news, self._pending = self._pending, set()
+        return self._make_updates(sorted(news))
 
-    def news_again(self) -> list[EndpointUpdate]:
+    def updates_to_resend(self) -> list[EndpointUpdate]:
         """Return what is told again: some of what stands or has ended, in turn."""
         known = self._known()
         if not known:
             return []
-        self._turn = (self._turn + MAX_AGAIN) % len(known)
-        return self._tell((known[self._turn :] + known[: self._turn])[:MAX_AGAIN])
+        self._next_index = (self._next_index + MAX_RESENT) % len(known)
+        return self._make_updates(
+            (known[self._next_index :] + known[: self._next_index])[:MAX_RESENT]
+        )
 
-    def all_news(self) -> list[EndpointUpdate]:
+    def all_updates(self) -> list[EndpointUpdate]:
         """Return what a router is told that is new here."""
-        return self._tell(self._known()[-MAX_TOLD:])
+        return self._make_updates(self._known()[-MAX_MESSAGE_ENDPOINTS:])
 
     def _known(self) -> list[str]:
         if not len(self._limits) and not self._closed.draining:
@@ -110,7 +112,7 @@
         limited = (lifetime for lifetime, _ in self._limits)
         return list(dict.fromkeys([*self._closed.draining, *limited, *ended]))
 
-    def _tell(self, lifetimes: Iterable[str]) -> list[EndpointUpdate]:
+    def _make_updates(self, lifetimes: Iterable[str]) -> list[EndpointUpdate]:
         now_s = self._clock.seconds()
         ended = self._limits.recently_ended(now_s)
         limits, leaving = [], []
@@ -139,4 +141,4 @@
         for left in message.draining:
             heard_s = now_s - max(0.0, left.age_s)
             if self._closed.apply_draining(left.lifetime, heard_s, sender, now_s):
-                self._on_leaving(left.lifetime, sender)
+                self._on_draining(left.lifetime, sender)
--- a/umberhitch/tasks/direct/store_view.py
+++ b/umberhitch/tasks/direct/store_view.py
@@ -15,14 +15,14 @@
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import FeedBatch, FeedPort, OperatorValue
-from umberhitch.tasks.direct.feeds import Feed, FeedPace
+from umberhitch.tasks.direct.feeds import Feed, FeedTiming
 from umberhitch.tasks.direct.trials import Trials
 
 __all__ = ["StoreView"]
 
 log = getLogger(__name__)
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 """How often entries that have not come back are looked for."""
 
 
@@ -34,7 +34,7 @@
     clock : Clock
     rng : Random
     operator_port, registry_port : FeedPort
-    operator_pace, endpoint_pace : FeedPace
+    operator_pace, endpoint_pace : FeedTiming
     trials : Trials
         Gets the orders of roll-outs.
     on_endpoints : callable
@@ -51,18 +51,18 @@
         rng: Random,
         operator_port: FeedPort[OperatorValue],
         registry_port: FeedPort[EndpointEntry],
-        operator_pace: FeedPace,
-        endpoint_pace: FeedPace,
-        trials: Trials,
-        on_endpoints: Callable[[list[str]], None],
+        operator_timing: FeedTiming,
+        endpoint_timing: FeedTiming,
+        canary_controller: Trials,
+        on_endpoints_changed: Callable[[list[str]], None],
         on_restarted: Callable[[Endpoint], None],
         directory: Directory,
     ) -> None:
         self.clock = clock
         self.directory = directory
-        self.trials = trials
+        self.canary_controller = canary_controller
         self.table: RouteTable | None = None
-        self._on_endpoints = on_endpoints
+        self._on_endpoints_changed = on_endpoints_changed
         self._on_restarted = on_restarted
         self._zones_out: dict[str, str] = {}
         """Zones out of service by the key of the record that says so."""
@@ -72,18 +72,18 @@
             operator_port,
             clock,
             rng,
-            operator_pace,
-            self._take_all_orders,
-            self._take_orders,
+            operator_timing,
+            self._apply_order_snapshot,
+            self._apply_orders,
         )
         self.registry_feed: Feed[EndpointEntry] = Feed(
             "registry",
             registry_port,
             clock,
             rng,
-            endpoint_pace,
-            self._take_all_endpoints,
-            self._take_endpoints,
+            endpoint_timing,
+            self._apply_endpoint_snapshot,
+            self._apply_endpoints,
         )
 
     def start(self) -> None:
@@ -103,8 +103,8 @@
             return
         ended = self.directory.sweep(self.clock.seconds())
         if ended:
-            self._on_endpoints([each.entry.address for each in ended])
-        self.clock.callLater(SWEEP_S, self._sweep)
+            self._on_endpoints_changed([each.entry.address for each in ended])
+        self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     @property
     def is_loaded(self) -> bool:
@@ -112,7 +112,7 @@
         return self.table is not None and self.directory.is_loaded
 
     @property
-    def is_store_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether the last call to the store failed."""
         return self.operator_feed.is_failing or self.registry_feed.is_failing
 
@@ -136,38 +136,40 @@
         proved_s = self.registry_feed.proved_s
         return None if proved_s is None else round(self.clock.seconds() - proved_s, 3)
 
-    def _take_all_orders(self, batch: FeedBatch[OperatorValue]) -> None:
-        self._take_orders(batch, False)
+    def _apply_order_snapshot(self, batch: FeedBatch[OperatorValue]) -> None:
+        self._apply_orders(batch, False)
         standing = {each.key for each in batch.records if each.value is not None}
         for key in self._zones_out.keys() - standing:
-            self._zone_back(key)
-        self.trials.keep([r.value for r in batch.records if isinstance(r.value, RolloutOrder)])
+            self._restore_zone(key)
+        self.canary_controller.keep(
+            [r.value for r in batch.records if isinstance(r.value, RolloutOrder)]
+        )
 
-    def _take_orders(self, batch: FeedBatch[OperatorValue], was_away: bool) -> None:
+    def _apply_orders(self, batch: FeedBatch[OperatorValue], was_away: bool) -> None:
         for record in batch.records:
             match record.value:
                 case Document():
-                    self._take_document(record.value)
+                    self._apply_document(record.value)
                 case RolloutOrder():
-                    self.trials.take_order(record.value)
+                    self.canary_controller.take_order(record.value)
                 case ZoneOut():
-                    self._zone_out(record.key, record.value.zone)
+                    self._remove_zone(record.key, record.value.zone)
                 case None if record.key.startswith("rollout/"):
-                    self.trials.drop(record.key.removeprefix("rollout/"))
+                    self.canary_controller.drop(record.key.removeprefix("rollout/"))
                 case None if record.key in self._zones_out:
-                    self._zone_back(record.key)
+                    self._restore_zone(record.key)
 
-    def _zone_out(self, key: str, zone: str) -> None:
+    def _remove_zone(self, key: str, zone: str) -> None:
         self._zones_out[key] = zone
         if self.directory.disable_zone(zone, self.clock.seconds()):
             log.info("zone out of service", extra={"zone": zone})
 
-    def _zone_back(self, key: str) -> None:
+    def _restore_zone(self, key: str) -> None:
         zone = self._zones_out.pop(key)
         if self.directory.enable_zone(zone, self.clock.seconds()):
             log.info("zone back in service", extra={"zone": zone})
 
-    def _take_document(self, document: Document) -> None:
+    def _apply_document(self, document: Document) -> None:
         if self.table is not None and document.number <= self.table.document.number:
             return
         self.table = RouteTable(document)
@@ -176,16 +178,16 @@
         facts = {"number": document.number, "routes": len(document.routes)}
         log.info("configuration in force", extra=facts)
 
-    def _take_all_endpoints(self, batch: FeedBatch[EndpointEntry]) -> None:
+    def _apply_endpoint_snapshot(self, batch: FeedBatch[EndpointEntry]) -> None:
         present = {record.key for record in batch.records if record.value is not None}
         now_s = self.clock.seconds()
         for incarnation in self.directory.incarnations():
             if incarnation not in present:
                 self.directory.lapse(incarnation, now_s, self.registry_feed.proved_s)
-        self._take_endpoints(batch, True)
+        self._apply_endpoints(batch, True)
         self.directory.is_loaded = True
 
-    def _take_endpoints(self, batch: FeedBatch[EndpointEntry], was_away: bool) -> None:
+    def _apply_endpoints(self, batch: FeedBatch[EndpointEntry], was_away: bool) -> None:
         gone: list[str] = []
         now_s = self.clock.seconds()
         for record in batch.records:
@@ -201,4 +203,4 @@
             elif known is not None:
                 gone.append(known.entry.address)
                 self.directory.drop(record.key)
-        self._on_endpoints(gone)
+        self._on_endpoints_changed(gone)
--- a/umberhitch/tasks/direct/stored_holds.py
+++ b/umberhitch/tasks/direct/stored_holds.py
@@ -24,11 +24,11 @@
 
 READERS = 2
 """Routers that read it at their start, in the order of the digests of their names."""
-SETTLE_S = 1.0
+STARTUP_DELAY_S = 1.0
 """Routers that start together know each other by then, and so who is to read."""
-AGAIN_S = 2.0
+RETRY_S = 2.0
 """Pause after a call to the store that failed; it may be away for seconds."""
-MAX_UNWRITTEN = 64
+MAX_PENDING_WRITES = 64
 """Requests that wait to be written while the store is away; the oldest yield."""
 
 
@@ -56,7 +56,7 @@
         self._port = port
         self._sharing = sharing
         self._rank = rank
-        self._unwritten: OrderedDict[str, None] = OrderedDict()
+        self._pending_keys: OrderedDict[str, None] = OrderedDict()
         self._is_writing = False
         self._is_stopped = False
         sharing.on_decided = self.write
@@ -70,12 +70,12 @@
         self._is_stopped = True
 
     async def _read(self) -> None:
-        await pause(self._clock, SETTLE_S)
+        await pause(self._clock, STARTUP_DELAY_S)
         while not self._is_stopped:
             rank = self._rank()
             if rank is not None and (rank >= READERS or await self._try_read()):
                 return
-            await pause(self._clock, AGAIN_S)
+            await pause(self._clock, RETRY_S)
 
     async def _try_read(self) -> bool:
         try:
@@ -84,10 +84,10 @@
             log.info("held requests not read", extra={"problem": str(exc)})
             return False
         for hold in holds:
-            self._take(hold)
+            self._restore(hold)
         return True
 
-    def _take(self, hold: StoredHold) -> None:
+    def _restore(self, hold: StoredHold) -> None:
         now_s = self._clock.seconds()
         for lifetime in hold.lifetimes:
             self._sharing.crashed(hold.key, Crash(lifetime, hold.service_version, now_s, now_s))
@@ -96,22 +96,22 @@
 
     def write(self, key: str) -> None:
         """Let stand in the store what is known of a request now."""
-        self._unwritten[key] = None
-        while len(self._unwritten) > MAX_UNWRITTEN:
-            self._unwritten.popitem(last=False)
+        self._pending_keys[key] = None
+        while len(self._pending_keys) > MAX_PENDING_WRITES:
+            self._pending_keys.popitem(last=False)
         if not self._is_writing:
             self._is_writing = True
             ensureDeferred(self._write_all()).addErrback(_log_failure)
 
     async def _write_all(self) -> None:
-        while self._unwritten and not self._is_stopped:
-            key, _ = self._unwritten.popitem(last=False)
+        while self._pending_keys and not self._is_stopped:
+            key, _ = self._pending_keys.popitem(last=False)
             try:
                 await self._port.write(key, self._hold(key))
             except LogError as exc:
                 log.info("held request not written", extra={"key": key, "problem": str(exc)})
-                self._unwritten.setdefault(key)
-                await pause(self._clock, AGAIN_S)
+                self._pending_keys.setdefault(key)
+                await pause(self._clock, RETRY_S)
         self._is_writing = False
 
     def _hold(self, key: str) -> StoredHold | None:
--- a/umberhitch/tasks/direct/tests/test_leaving_and_rest.py
+++ b/umberhitch/tasks/direct/tests/test_leaving_and_rest.py
@@ -276,7 +276,7 @@
     _leaves(leaving)
     _crowd(world, 1.0)
     world.add_router("new")
-    world.run(MembershipLimits().catch_up_s + 0.1)
+    world.run(MembershipLimits().propagation_s + 0.1)
     assert _knows(world, "new") == {"l0"}
 
 
--- a/umberhitch/tasks/direct/tests/test_membership.py
+++ b/umberhitch/tasks/direct/tests/test_membership.py
@@ -26,7 +26,7 @@
 
 
 def _known(world: DirectWorld) -> set[int]:
-    return {len(router.peers.names()) for router in world.routers.values()}
+    return {len(router.peers.peer_names()) for router in world.routers.values()}
 
 
 def test_all_find_each_other_and_few_read_the_list():
@@ -50,7 +50,7 @@
     reader.faults.is_down = True
     world.add_router("r99")
     world.run(4.0)
-    known = {n: len(r.peers.names()) for n, r in world.routers.items() if n != "r00"}
+    known = {n: len(r.peers.peer_names()) for n, r in world.routers.items() if n != "r00"}
     assert set(known.values()) == {6}
 
 
@@ -113,4 +113,4 @@
     late = world.add_router("late")
     world.run(3.0)
     assert late.statuses.calls <= 1  # the others hear of it some seconds later
-    assert late.trials._states.is_known("svc")
+    assert late.trials._states.is_earlier_decision_known("svc")
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -39,7 +39,7 @@
 
 
 def believe_every_peer(patch: pytest.MonkeyPatch) -> None:
-    judge = SharedView._judge
+    judge = SharedView._evaluate_reply
 
     def as_if_fresh(
         self: SharedView, reply: ViewReply | None, called_s: float, offset: int
--- a/umberhitch/tasks/direct/tests/test_named_limits.py
+++ b/umberhitch/tasks/direct/tests/test_named_limits.py
@@ -265,7 +265,7 @@
     world, _ = _world(4, 1, 1, 2.0)
     _crowd(world, 1.0, 40.0)
     world.add_router("new")
-    world.run(MembershipLimits().catch_up_s + 0.1)
+    world.run(MembershipLimits().propagation_s + 0.1)
     assert _known(world, "new") == {"l0": 2.0}
 
 
--- a/umberhitch/tasks/direct/tests/test_peers.py
+++ b/umberhitch/tasks/direct/tests/test_peers.py
@@ -21,16 +21,16 @@
         world.run(1.0)
     got = {"r2": 0, "r1": 0}
     peers = world.routers["r0"].peers
-    take = peers._on_report
+    take = peers._handle_report
 
     def count_report(report: PeerReport) -> None:
         if report.router in got:
             got[report.router] += 1
         take(report)
 
-    peers._on_report = count_report
+    peers._handle_report = count_report
     world.run(12.0)
-    assert len(peers.live()) == count - 1
+    assert len(peers.live_reports()) == count - 1
     return got["r2"], got["r1"]
 
 
@@ -60,5 +60,5 @@
     counts = []
     for _ in range(50):
         world.run(0.1)
-        counts.append(len(world.routers["r00"].peers.live()))
+        counts.append(len(world.routers["r00"].peers.live_reports()))
     assert set(counts) == {67}
--- a/umberhitch/tasks/direct/tests/test_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_sharing.py
@@ -131,8 +131,8 @@
     _, routers = _world(2)
     sharing = routers[1].peers._sharing
     found = []
-    sharing.ask("nobody", "operator", 0, 1.0, 0.1).addCallback(found.append)
-    number = sharing._last_ask
+    sharing.request_changes("nobody", "operator", 0, 1.0, 0.1).addCallback(found.append)
+    number = sharing._last_request_id
     sharing.receive("r0", ViewReply(number, 0, True, 9))
     assert found == []
     sharing.receive("r0", ViewReply(number, 1, True, 9))
@@ -141,12 +141,12 @@
 
 def test_who_asks_for_more_than_is_kept_is_told_so_at_once():
     world, routers = _world(1)
-    view = routers[0].peers._sharing.answerers["registry"]
+    view = routers[0].peers._sharing.handlers["registry"]
     sent = []
     view._sharing.send = lambda peer, message: sent.append((peer, message))
-    view.on_ask("r9", ViewRequest(1, 1, "registry", 0, 0.5))
+    view.handle_request("r9", ViewRequest(1, 1, "registry", 0, 0.5))
     assert sent == [("r9", ViewReply(1, 1, False))]
-    view.on_ask("r9", ViewRequest(2, 1, "registry", 99, 0.5))
+    view.handle_request("r9", ViewRequest(2, 1, "registry", 99, 0.5))
     world.run(0.6)
     assert sent[1][1].is_offset_known
     assert sent[1][1].held_s >= 0.5
--- a/umberhitch/tasks/direct/tests/test_store.py
+++ b/umberhitch/tasks/direct/tests/test_store.py
@@ -272,11 +272,11 @@
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
     router = world.add_router("r1")
-    assert router.gateway.presence.returns_s() > 1.0
+    assert router.gateway.presence.available_in_s() > 1.0
     world.run(0.5)
-    assert 0.3 < router.gateway.presence.returns_s() <= 1.2
+    assert 0.3 < router.gateway.presence.available_in_s() <= 1.2
     world.run(1.5)
-    assert router.gateway.presence.returns_s() == 0.0
+    assert router.gateway.presence.available_in_s() == 0.0
 
 
 def test_a_peer_that_did_not_come_back_when_it_said_is_not_waited_for():
@@ -294,10 +294,10 @@
     lost.gateway.stop()
     world.network.unplug("r1")
     world.run(3.0)
-    assert 3.0 < alone.return_s() < 6.0
+    assert 3.0 < alone.peer_available_in_s() < 6.0
     world.run(6.0)
-    assert alone.return_s() == 0.0
-    assert alone._left == {}
+    assert alone.peer_available_in_s() == 0.0
+    assert alone._last_reports == {}
 
 
 def test_a_feed_that_ends_by_an_error_begins_anew():
@@ -305,13 +305,13 @@
     world = DirectWorld()
     router = world.ready_router()
     view = router.gateway.view
-    taken = view.operator_feed.on_taken
+    taken = view.operator_feed.on_applied
 
     def fail_once(*args: object) -> None:
-        view.operator_feed.on_taken = taken
+        view.operator_feed.on_applied = taken
         raise ValueError("a bug")
 
-    view.operator_feed.on_taken = fail_once
+    view.operator_feed.on_applied = fail_once
     world.operator.put("config", make_direct_document(2))
     world.run(0.1)
     world.operator.put("config", make_direct_document(3))
--- a/umberhitch/tasks/direct/trials.py
+++ b/umberhitch/tasks/direct/trials.py
@@ -22,7 +22,7 @@
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import StatusPort, do_nothing
-from umberhitch.tasks.direct.stored_states import FINAL_STATES, StoredStates
+from umberhitch.tasks.direct.stored_states import FINAL_STATES, StoredRolloutStates
 from umberhitch.wire import CanaryReport, CanaryUpdate, RouteCounts
 
 __all__ = ["Trials"]
@@ -65,7 +65,7 @@
         self._trials: dict[str, Canary] = {}
         self._within: dict[str, tuple[float, bool]] = {}
         """By service: when the exposure bound was looked at, and whether it was kept."""
-        self._states = StoredStates(clock, status, self._note_final)
+        self._states = StoredRolloutStates(clock, status, self._note_final)
         self._recent: dict[str, OrderedDict[str, tuple[float, float]]] = {}
         self._is_stopped = False
         self.old_running: Callable[[str, str], int] = lambda service, version: 0
@@ -85,7 +85,7 @@
         """
         self._on_news = on_news
         self._states.rank = rank
-        self._states.on_untold = on_news
+        self._states.on_unsent = on_news
 
     def start(self) -> None:
         """Begin to drive."""
@@ -117,7 +117,7 @@
         self._tell_news(trial)
         self._within.pop(order.service, None)
         log.info("roll-out begins", extra={"service": order.service, "target": order.target})
-        self._states.begin(trial)
+        self._states.follow(trial)
 
     def drop(self, service: str) -> None:
         """Forget an order that the operator has taken back."""
@@ -140,7 +140,7 @@
         verdict = trial.next_state(now_s, running)
         if verdict is RolloutState.ROLLED_BACK and trial.state is not verdict:
             self._set_state(trial, verdict)
-        self._states.settle(trial, verdict)
+        self._states.ensure_written(trial, verdict)
 
     def _note_final(self, trial: Canary, state: RolloutState) -> None:
         """Take over a final state that stands in the store."""
@@ -191,7 +191,7 @@
         draw = self._rng.random() if session is None else _draw(session)
         trial = self._trials.get(service)
         if trial is not None:
-            has_target = self._states.is_known(service) and any(
+            has_target = self._states.is_earlier_decision_known(service) and any(
                 each.entry.version == trial.order.target for each in endpoints
             )
             is_within = self._is_within_bound(trial, endpoints, now_s)
@@ -312,7 +312,7 @@
                 trial.pinned_sessions(now_s)[:MAX_KEPT_BACK],
                 trial.is_load_tested,
                 trial.moved_sessions(now_s)[-MAX_MOVED:],
-                self._states.proved(service),
+                self._states.confirmed_state(service),
             )
             for service, trial in self._trials.items()
         ]
@@ -320,12 +320,12 @@
     def take_news(self) -> list[CanaryUpdate]:
         """Return what others are to be told at once, and that was not."""
         found = []
-        untold = self._states.take_untold()
+        untold = self._states.pop_unsent()
         for service, trial in self._trials.items():
             if service not in untold and not trial.unreported_moved and not trial.unreported_pinned:
                 continue
             kept = trial.unreported_pinned[-MAX_KEPT_BACK:]
-            written = self._states.proved(service)
+            written = self._states.confirmed_state(service)
             found.append(
                 CanaryUpdate(service, trial.order.target, trial.unreported_moved, kept, written)
             )
@@ -338,7 +338,7 @@
         if trial is None or trial.order.target != message.target:
             return
         now_s = self._clock.seconds()
-        self._states.note_told(trial, message.stored_state)
+        self._states.apply_peer_state(trial, message.stored_state)
         for session in message.moved_to_new:
             trial.note_moved_session(session, now_s, _draw(session))
         for session in message.kept_on_old:
@@ -368,8 +368,8 @@
                 trial.note_old_session(session, self._clock.seconds(), _draw(session))
             for session in report.moved_to_new:
                 trial.note_moved_session(session, self._clock.seconds(), _draw(session))
-            self._states.note_heard(report.service)
-            self._states.note_told(trial, report.stored_state)
+            self._states.note_peer_follows(report.service)
+            self._states.apply_peer_state(trial, report.stored_state)
             if report.state in FINAL_STATES and trial.state is RolloutState.IN_PROGRESS:
                 self._set_state(trial, RolloutState(report.state))
 
--- a/umberhitch/tasks/evidence.py
+++ b/umberhitch/tasks/evidence.py
@@ -8,7 +8,13 @@
 from xxhash import xxh3_64_intdigest
 
 from umberhitch.config import Change, SetState, Version, VersionState
-from umberhitch.core.evidence import FALLBACK_SIGNALS, Alarm, EvidenceBook, EvidenceLimits, Judge
+from umberhitch.core.evidence import (
+    FALLBACK_SIGNALS,
+    Alarm,
+    EvidenceBuffer,
+    EvidenceLimits,
+    VersionJudge,
+)
 from umberhitch.core.outcome import Done, Outcome, Reason, Unknown
 from umberhitch.ports import Clock
 from umberhitch.ports.rating import RatingPort
@@ -66,9 +72,9 @@
         self._rng = rng
         self._ratings = ratings
         self._sample = sample
-        self._book = EvidenceBook()
+        self._book = EvidenceBuffer()
         self._in_flight = 0
-        self.judge = Judge(limits)
+        self.judge = VersionJudge(limits)
         self.alarms: list[Alarm] = []
         self.on_alarm: Callable[[Alarm], None] | None = None
 
@@ -84,7 +90,7 @@
         if not isinstance(work, EngineWork) or not _is_evidence(outcome):
             return
         is_done = isinstance(outcome, Done)
-        self._book.ended(target, klass, is_done, latency_s)
+        self._book.record_attempt(target, klass, is_done, latency_s)
         if isinstance(outcome, Done) and self._ratings is not None:
             is_chosen = self._sample >= 1.0 or self._rng.random() < self._sample
             if is_chosen and self._in_flight < MAX_RATINGS_IN_FLIGHT:
@@ -103,12 +109,12 @@
         finally:
             self._in_flight -= 1
         if rating is not None:
-            self._book.rated(target, klass, rating)
+            self._book.record_rating(target, klass, rating)
 
     def pass_on(self) -> None:
         """Send what was observed to the judges of each version; called once a second."""
         own = self._router.settings.name
-        for evidence in self._book.take():
+        for evidence in self._book.flush():
             for judge in self._listeners(evidence.version):
                 if judge == own:
                     self.take(evidence)
@@ -134,7 +140,7 @@
         ver = self._router.feed.config.versions.get(evidence.version)
         if ver is None or ver.state is not VersionState.ACTIVE:
             return
-        alarm = self.judge.take(evidence)
+        alarm = self.judge.observe(evidence)
         if alarm is None:
             return
         if alarm.signal in FALLBACK_SIGNALS and not self._has_fallback(ver):
@@ -142,7 +148,7 @@
                 "version suspected, but there is no other to turn to",
                 extra={"version": alarm.version, "signal": alarm.signal.value},
             )
-            self.judge.forget(alarm.version)
+            self.judge.reset(alarm.version)
             return
         self._quarantine(alarm)
 
@@ -180,7 +186,7 @@
             },
         )
         self.alarms.append(alarm)
-        self.judge.forget(alarm.version)
+        self.judge.reset(alarm.version)
         self._router.change(change).addErrback(lambda failure: None)
         if self.on_alarm is not None:
             self.on_alarm(alarm)
--- a/umberhitch/tasks/parts.py
+++ b/umberhitch/tasks/parts.py
@@ -6,7 +6,7 @@
 
 from umberhitch.config import Change, Verdict
 from umberhitch.core.outcome import NotRun, Outcome
-from umberhitch.core.stops import DirectStops
+from umberhitch.core.withdrawals import DirectWithdrawals
 from umberhitch.tasks.asks import Placement, Progress
 from umberhitch.tasks.attempts import Attempts
 from umberhitch.tasks.bills import BillWriter
@@ -44,7 +44,7 @@
     claims: Claims
     lease: LeaseKeeper
     peers: Peers
-    stops: DirectStops
+    stops: DirectWithdrawals
 
     @property
     def settings(self) -> RouterIdentity:
--- a/umberhitch/tasks/requests.py
+++ b/umberhitch/tasks/requests.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from umberhitch.config import Config, Customer
-from umberhitch.core.admission import Admission
+from umberhitch.core.admission import AdmissionControl
 from umberhitch.core.billing import cost_micros
-from umberhitch.core.choice import choose_endpoint, choose_version, permitted_versions
 from umberhitch.core.outcome import Done, NotRun, Outcome, Reason, Unknown
+from umberhitch.core.selection import choose_endpoint, choose_version, permitted_versions
 from umberhitch.ports import Clock
 from umberhitch.tasks.asks import Ask, AttemptTrace, Placement, Progress, RequestTrace, describe
 from umberhitch.tasks.attempts import TextSink
@@ -83,7 +83,7 @@
         self._retry_tokens = RETRY_BURST
         self._idle_callbacks: list[Callable[[], None]] = []
         self._customer_by_key: dict[str, str] = {}
-        self.admission = Admission()
+        self.admission = AdmissionControl()
         self.open = 0
         self.outcomes: dict[str, int] = {}
         self.traces: dict[str, RequestTrace] = {}
@@ -145,7 +145,7 @@
         try:
             outcome = await (self._keyed.serve(progress) if ask.key else self._serve(progress))
         finally:
-            self.admission.leave(ask.customer.name)
+            self.admission.release(ask.customer.name)
             self.open -= 1
         self._conclude(progress, outcome)
         return outcome
@@ -336,7 +336,7 @@
         if isinstance(versions, NotRun):
             return versions
         stops, fold = self._router.stops, self._router.feed.fold
-        versions = [ver for ver in versions if not stops.holds(ver.key, fold)]
+        versions = [ver for ver in versions if not stops.is_withdrawn(ver.key, fold)]
         if not versions:
             return NotRun(Reason.WITHDRAWN, f'no version of "{ask.spec}" takes new work')
 
--- a/umberhitch/tasks/rollouts.py
+++ b/umberhitch/tasks/rollouts.py
@@ -25,9 +25,9 @@
     RolloutView,
     UpdatePlan,
     is_restorable,
-    make_rollout_life,
+    make_rollout_lifecycle,
     next_step,
-    restored,
+    restored_version,
 )
 from umberhitch.errors import UmberhitchError
 from umberhitch.ports import Clock
@@ -101,7 +101,7 @@
         ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(plan), seen)]
         old = feed.config.versions.get(plan.previous)
         if action == "roll back" and old is not None and is_restorable(old):
-            ops.append(self._put_version(restored(old)))
+            ops.append(self._put_version(restored_version(old)))
         change = Change(f"rollout-{version}-{action}-{seen}", "operator", ops)
         return self._router.change(change)
 
@@ -167,7 +167,7 @@
 
     def _drive(self, plan: Rollout, token: int) -> None:
         if plan.state is RolloutState.PLANNED:
-            self._evidence.judge.compare_with(plan.version, plan.previous)
+            self._evidence.judge.set_predecessor(plan.version, plan.previous)
         match next_step(plan, self._view(plan)):
             case LoadEndpoint(endpoint=endpoint, target=target):
                 self._order(endpoint, target, token)
@@ -190,8 +190,8 @@
         return RolloutView(
             rows,
             self._router.feed.config.versions,
-            judge.counts.get(plan.version, 0),
-            judge.rated.get(plan.version, 0),
+            judge.attempt_counts.get(plan.version, 0),
+            judge.rating_counts.get(plan.version, 0),
             self._evidence.has_ratings,
             self._wall_s(),
             self._driving_since_s,
@@ -210,8 +210,8 @@
             return
         self._pending = change_id
         judge = self._evidence.judge
-        judge.counts.pop(plan.version, None)
-        judge.rated.pop(plan.version, None)
+        judge.attempt_counts.pop(plan.version, None)
+        judge.rating_counts.pop(plan.version, None)
         log.info(
             "roll-out step",
             extra={
@@ -254,13 +254,13 @@
 
 def _commanded(plan: Rollout, action: str, now_s: float) -> Rollout:
     """Return the plan after an operator's command; raises if its life cycle does not admit it."""
-    life, cell = make_rollout_life(plan.state)
+    life, cell = make_rollout_lifecycle(plan.state)
     try:
         match action:
             case "hold":
                 life.hold()
             case "go on":
-                life.go_on()
+                life.resume()
             case _:
                 life.roll_back()
     except NoTransition as exc:
--- a/umberhitch/tasks/router.py
+++ b/umberhitch/tasks/router.py
@@ -11,8 +11,8 @@
 
 from umberhitch.config import Change, SetState, Verdict, VersionState
 from umberhitch.core.evidence import EvidenceLimits
-from umberhitch.core.stops import DirectStops
-from umberhitch.core.subsets import SubsetLimits, Subsets
+from umberhitch.core.subsets import AgentSubset, SubsetLimits
+from umberhitch.core.withdrawals import DirectWithdrawals
 from umberhitch.ports import Clock, Host, HostListPort, HostRole, LinkPort, LogPort
 from umberhitch.ports.rating import RatingPort
 from umberhitch.tasks.appender import AppenderLimits
@@ -138,8 +138,8 @@
         self._is_stopped = False
         self.peers = Peers(settings.name, settings.incarnation, clock, rng, link, settings.peers)
         self._drained: Deferred[None] | None = None
-        self.stops = DirectStops()
-        self._subsets = Subsets(settings.name, settings.subsets)
+        self.stops = DirectWithdrawals()
+        self._subsets = AgentSubset(settings.name, settings.subsets)
         self.fleet = Fleet(clock, settings.fleet)
         self.attempts = Attempts(
             settings.name, settings.incarnation, clock, link, self.fleet, settings.pace
@@ -242,7 +242,7 @@
         )
         moved = self.fleet.update_hosts(agents)
         for host in agents:
-            self.fleet.endpoints[host.name].is_fed = self._subsets.feeds(host)
+            self.fleet.endpoints[host.name].is_fed = self._subsets.publishes_to(host)
         for endpoint in moved:
             self._link.connect(endpoint.name, endpoint.address)
             self._link.send(endpoint.name, self._hello())
--- a/umberhitch/testing/_direct.py
+++ b/umberhitch/testing/_direct.py
@@ -40,8 +40,8 @@
 from umberhitch.tasks.direct.gateway import Gateway
 from umberhitch.tasks.direct.gateway_limits import GatewaySettings
 from umberhitch.tasks.direct.peers import DirectPeers
+from umberhitch.tasks.direct.read_sharing import ReadSharing, StreamName
 from umberhitch.tasks.direct.shared_view import share_stream
-from umberhitch.tasks.direct.sharing import Sharing, StreamName
 from umberhitch.tasks.direct.stored_holds import StoredHolds
 from umberhitch.tasks.direct.trials import Trials
 
@@ -177,7 +177,7 @@
         statuses = FakeStatuses(self.statuses, status_faults or faults)
         trials = Trials(clock, Random(name), statuses)
         link = self.network.link(name)
-        sharing = Sharing(name, 1, clock, Random(name), link.send)
+        sharing = ReadSharing(name, 1, clock, Random(name), link.send)
         operator_view = share_stream(sharing, StreamName.OPERATOR, operator_port or operator)
         registry_view = share_stream(sharing, StreamName.REGISTRY, registry)
         gateway = Gateway(
@@ -195,8 +195,8 @@
             registry_view,
             trials,
         )
-        operator_view.follow(gateway.view.operator_feed)
-        registry_view.follow(gateway.view.registry_feed)
+        operator_view.attach_feed(gateway.view.operator_feed)
+        registry_view.attach_feed(gateway.view.registry_feed)
         me = Member(name, f"@{name}")
         members = FakeMembers(self.members, faults)
         peers = DirectPeers(me, 1, gateway, clock, Random(name), link, members, sharing)
