--- a/umberhitch/adapters/tests/test_ratings.py
+++ b/umberhitch/adapters/tests/test_ratings.py
@@ -42,13 +42,13 @@
     router = served.deployment.routers["r1"].router
     host, _, port = served.callers.rpartition(":")
     body = json.encode({"model": "m@1", "messages": [{"role": "user", "content": "rated"}]})
-    before = sum(router.evidence.judge.rated.values())
+    before = sum(router.evidence.judge.rating_counts.values())
     for _ in range(TRIES):
         conn = HTTPConnection(host, int(port), timeout=20)
         conn.request("POST", "/v1/chat/completions", body, {"Authorization": "Bearer key-acme"})
         assert conn.getresponse().status == 200
         conn.close()
-        if sum(router.evidence.judge.rated.values()) > before:
+        if sum(router.evidence.judge.rating_counts.values()) > before:
             return
         time.sleep(0.05)
     pytest.fail("no rating arrived")
--- a/umberhitch/core/admission.py
+++ b/umberhitch/core/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests by customer: sustained rate, burst, and requests in flight."""
+"""Admission control per customer: sustained rate, burst, and requests in flight."""
 
 from dataclasses import dataclass
 
@@ -9,50 +9,50 @@
 
 
 @dataclass(slots=True)
-class _Account:
+class _TokenBucket:
     tokens: float
-    at_s: float
+    updated_s: float
     in_flight: int = 0
 
 
 class AdmissionControl:
-    """Owns the counters of each customer at one router.
+    """Token buckets and in-flight counters of the customers of one router.
 
     Parameters
     ----------
     routers : int
-        Routers among which a customer's limits are divided.
+        Number of routers over which the limits of each customer are divided evenly.
     """
 
     def __init__(self, routers: int = 1) -> None:
         self.routers = routers
-        self._accounts: dict[str, _Account] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def admit(self, customer: str, limits: Limits, now_s: float) -> NotRun | None:
-        """Count a request in, or return why it is refused."""
+        """Admit a request and count it as in flight, or return the reason for refusing it."""
         burst = max(1.0, limits.burst / self.routers)
-        account = self._accounts.get(customer)
-        if account is None:
-            account = self._accounts[customer] = _Account(burst, now_s)
+        bucket = self._buckets.get(customer)
+        if bucket is None:
+            bucket = self._buckets[customer] = _TokenBucket(burst, now_s)
         rate = limits.requests_per_s / self.routers
-        if limits.concurrent and account.in_flight >= max(1, limits.concurrent // self.routers):
+        if limits.concurrent and bucket.in_flight >= max(1, limits.concurrent // self.routers):
             return NotRun(Reason.RATE_LIMITED, "too many requests in flight", 1.0)
         if rate > 0:
-            account.tokens = min(burst, account.tokens + (now_s - account.at_s) * rate)
-            account.at_s = now_s
-            if account.tokens < 1.0:
-                return NotRun(Reason.RATE_LIMITED, "over the rate", (1.0 - account.tokens) / rate)
-            account.tokens -= 1.0
-        account.in_flight += 1
+            bucket.tokens = min(burst, bucket.tokens + (now_s - bucket.updated_s) * rate)
+            bucket.updated_s = now_s
+            if bucket.tokens < 1.0:
+                return NotRun(Reason.RATE_LIMITED, "over the rate", (1.0 - bucket.tokens) / rate)
+            bucket.tokens -= 1.0
+        bucket.in_flight += 1
         return None
 
     def release(self, customer: str) -> None:
-        """Count a request out."""
-        account = self._accounts.get(customer)
-        if account is not None:
-            account.in_flight = max(0, account.in_flight - 1)
+        """Remove an ended request from the in-flight count."""
+        bucket = self._buckets.get(customer)
+        if bucket is not None:
+            bucket.in_flight = max(0, bucket.in_flight - 1)
 
     def in_flight(self, customer: str) -> int:
-        """Return a customer's requests in flight."""
-        account = self._accounts.get(customer)
-        return account.in_flight if account else 0
+        """Return the number of requests in flight of a customer."""
+        bucket = self._buckets.get(customer)
+        return bucket.in_flight if bucket else 0
--- a/umberhitch/core/answer.py
+++ b/umberhitch/core/answer.py
@@ -1,26 +1,26 @@
-"""Reassembly of an answer from chunks that may be repeated, late, lost or out of order."""
+"""Reassembly of an answer from chunks that may be duplicated, delayed, lost or reordered."""
 
 from umberhitch.errors import UmberhitchError
 
 __all__ = ["AnswerAssembler", "AnswerConflictError"]
 
 MAX_PENDING_CHUNKS = 1024
-"""Chunks held beyond a gap; more are dropped and fetched again."""
+"""Maximum number of chunks buffered beyond a gap; further ones are dropped and refetched."""
 
 
 class AnswerConflictError(UmberhitchError):
-    """Two chunks or ends of one answer contradict each other."""
+    """The messages of one answer disagree on its length."""
 
 
 class AnswerAssembler:
-    """Puts the chunks of one answer in order.
+    """Assembles the chunks of one answer in order.
 
     Attributes
     ----------
     length : int
-        Characters received without a gap, counted from the start.
+        Number of characters received contiguously from the start.
     end : int or None
-        Length of the whole answer, once it is known.
+        Length of the complete answer in characters, or None while it is unknown.
     """
 
     __slots__ = ("_parts", "_pending", "end", "length")
@@ -33,16 +33,16 @@
 
     @property
     def has_gap(self) -> bool:
-        """Whether something is missing before what has arrived."""
+        """Whether text is missing before a buffered chunk or before the known end."""
         return bool(self._pending) or (self.end is not None and self.length < self.end)
 
     @property
     def is_complete(self) -> bool:
-        """Whether every character up to the end is there."""
+        """Whether every character up to the end has been received."""
         return self.end is not None and self.length == self.end
 
     def add(self, offset: int, text: str) -> str:
-        """Take a chunk and return the text that now follows what was there before."""
+        """Add a chunk and return the text by which the contiguous answer has grown."""
         if offset > self.length:
             if len(self._pending) < MAX_PENDING_CHUNKS:
                 known = self._pending.get(offset, "")
@@ -57,12 +57,12 @@
         return new + self._drain()
 
     def finish(self, length: int) -> None:
-        """Learn the length of the whole answer.
+        """Set the length of the complete answer.
 
         Raises
         ------
         AnswerConflictError
-            If another length was learned before, or more has been received than that.
+            If a different length was set before, or more characters have been received.
         """
         if self.end is not None and self.end != length:
             raise AnswerConflictError(f"answer ends at {self.end} and at {length}")
@@ -71,7 +71,7 @@
         self.end = length
 
     def text(self) -> str:
-        """Return what is there without a gap."""
+        """Return the text received contiguously from the start."""
         if len(self._parts) > 1:
             self._parts = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
--- a/umberhitch/core/attempt.py
+++ b/umberhitch/core/attempt.py
@@ -1,4 +1,4 @@
-"""Life cycle of one attempt at its agent, as an automat machine."""
+"""State machine of one attempt at its agent, built with automat."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -20,7 +20,7 @@
 
 
 class AttemptState(StrEnum):
-    """Where an attempt stands at its agent."""
+    """State of an attempt at its agent."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -34,22 +34,22 @@
 
 @dataclass(slots=True)
 class AttemptEntry:
-    """What the ledger holds of one attempt.
+    """Ledger entry of one attempt.
 
     Attributes
     ----------
     parts : list of str
-        The answer so far.
+        Chunks of the answer received so far.
     length : int
-        Characters in ``parts``.
+        Total number of characters in ``parts``.
     result : AttemptResult or None
-        The last message on the attempt, once there is one.
+        The terminal message of the attempt, or None while it has not ended.
     """
 
     attempt: AttemptId
     start: Start | None
     deadline_s: float = 0.0
-    """When the caller's deadline passes, on the agent's clock."""
+    """Deadline of the caller in seconds, on the agent's clock."""
     state: AttemptState = AttemptState.QUEUED
     parts: list[str] = field(default_factory=list)
     length: int = 0
@@ -58,37 +58,37 @@
 
     @property
     def is_terminal(self) -> bool:
-        """Whether nothing can happen to the attempt any more."""
+        """Whether the attempt has ended."""
         return self.state in TERMINAL_STATES
 
     def add_text(self, text: str) -> int:
-        """Append to the answer and return the offset at which the text stands."""
+        """Append text to the answer and return the offset at which it starts."""
         offset = self.length
         self.parts.append(text)
         self.length += len(text)
         return offset
 
     def text_from(self, offset: int) -> str:
-        """Return the answer from an offset to where it stands now."""
+        """Return the answer so far, from an offset on."""
         if len(self.parts) > 1:
             self.parts = ["".join(self.parts)]
         return self.parts[0][offset:] if self.parts else ""
 
 
 class AttemptLifecycle(Protocol):
-    """Inputs of the machine."""
+    """Inputs of the state machine."""
 
     def start(self) -> None:
-        """The back end is given the call."""
+        """Record that the call is passed to the back end."""
 
     def complete(self, result: Finished) -> None:
-        """The answer is whole."""
+        """Record that the answer is complete."""
 
     def fail(self, result: Failed) -> None:
-        """The attempt ended after it began, and its effect is not known."""
+        """Record that the attempt failed after it started; its effect is unknown."""
 
     def refuse(self, result: Refused) -> None:
-        """The attempt has not run and will not."""
+        """Record that the attempt has not run and never will."""
 
 
 _builder = TypeMachineBuilder(AttemptLifecycle, AttemptEntry)
@@ -100,30 +100,30 @@
 
 
 @_queued.upon(AttemptLifecycle.start).to(_running)
-def _begin(life: AttemptLifecycle, entry: AttemptEntry) -> None:
+def _start(lifecycle: AttemptLifecycle, entry: AttemptEntry) -> None:
     entry.state = AttemptState.RUNNING
 
 
 @_queued.upon(AttemptLifecycle.refuse).to(_refused)
-def _refuse_queued(life: AttemptLifecycle, entry: AttemptEntry, result: Refused) -> None:
+def _refuse_queued(lifecycle: AttemptLifecycle, entry: AttemptEntry, result: Refused) -> None:
     entry.state, entry.result = AttemptState.REFUSED, result
 
 
 @_running.upon(AttemptLifecycle.refuse).to(_refused)
-def _refuse_running(life: AttemptLifecycle, entry: AttemptEntry, result: Refused) -> None:
-    """The back end itself said that it did not run the call."""
+def _refuse_running(lifecycle: AttemptLifecycle, entry: AttemptEntry, result: Refused) -> None:
+    """Apply a refusal by the back end, which reports that it did not run the call."""
     entry.state, entry.result = AttemptState.REFUSED, result
 
 
 @_running.upon(AttemptLifecycle.complete).to(_done)
-def _complete(life: AttemptLifecycle, entry: AttemptEntry, result: Finished) -> None:
+def _complete(lifecycle: AttemptLifecycle, entry: AttemptEntry, result: Finished) -> None:
     entry.state, entry.result = AttemptState.DONE, result
 
 
 @_running.upon(AttemptLifecycle.fail).to(_failed)
-def _fail(life: AttemptLifecycle, entry: AttemptEntry, result: Failed) -> None:
+def _fail(lifecycle: AttemptLifecycle, entry: AttemptEntry, result: Failed) -> None:
     entry.state, entry.result = AttemptState.FAILED, result
 
 
 make_attempt_lifecycle = _builder.build()
-"""Build the machine of one `AttemptEntry`."""
+"""Build the state machine of one `AttemptEntry`."""
--- a/umberhitch/core/billing.py
+++ b/umberhitch/core/billing.py
@@ -1,4 +1,4 @@
-"""Bills: usage records, and the fold of the billing stream that counts each request once."""
+"""Billing: usage records, and a fold of the billing stream that counts each request once."""
 
 from dataclasses import dataclass, field
 
@@ -14,17 +14,17 @@
 
 
 def encode_usage(record: UsageRecord) -> bytes:
-    """Return the usage record as it stands in the log."""
+    """Return the usage record as JSON, as it is stored in the log."""
     return _encoder.encode(record)
 
 
 def decode_usage(data: bytes) -> UsageRecord:
-    """Return the record that `encode_usage` wrote."""
+    """Decode a record written by `encode_usage`."""
     return _decoder.decode(data)
 
 
 def cost_micros(ver: Version | None, usage: Usage) -> int:
-    """Return the price of an attempt in millionths of the currency."""
+    """Return the price of an attempt in millionths of the currency unit."""
     if ver is None:
         return 0
     return round(
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Bill:
-    """What one customer owes."""
+    """Totals of one customer."""
 
     requests: int = 0
     input_tokens: int = 0
@@ -45,7 +45,7 @@
 
 
 class BillFold:
-    """The state of the billing stream; the first record of a request counts, later ones do not."""
+    """State of the billing stream; only the first record of each request is counted."""
 
     def __init__(self) -> None:
         self.next_offset = 0
@@ -55,7 +55,7 @@
         self.records: dict[str, UsageRecord] = {}
 
     def apply(self, offset: int, data: bytes) -> None:
-        """Apply the record at ``offset``; one that was applied before changes nothing."""
+        """Apply the record at ``offset``; applying the same offset twice has no effect."""
         if offset < self.next_offset:
             return
         self.next_offset = offset + 1
--- a/umberhitch/core/burn.py
+++ b/umberhitch/core/burn.py
@@ -1,9 +1,9 @@
-"""Service-level burn: how fast an error budget is spent, over several windows.
+"""Burn rates: how fast error budgets are spent, over several windows.
 
-A request is good if it was done within its objective's latency. The burn rate over a window is the
-share of bad requests divided by the share that the objective allows. An alert is raised when both a
-long and a short window burn fast, as in the "Site Reliability Workbook" (Beyer and others, 2018),
-chapter 5.
+A request is good if it was completed within the latency of its objective. The burn rate over a
+window is the share of bad requests divided by the share that the objective allows. An alert is
+raised when the burn rates of both a long and a short window exceed a threshold, as in the "Site
+Reliability Workbook" (Beyer and others, 2018), chapter 5.
 """
 
 from collections import deque
@@ -28,7 +28,7 @@
 ]
 
 SLICE_S = 60
-"""Length of the slices that windows are made of."""
+"""Length in seconds of the slices that make up a window."""
 WINDOWS_S = (300, 1800, 3600, 21600)
 MIN_LATENCY_MS = 1
 MAX_LATENCY_MS = 3_600_000
@@ -36,7 +36,7 @@
 
 
 class Severity(StrEnum):
-    """What an alert asks for."""
+    """Severity of an alert: the response that it asks for."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlertRule:
-    """Burn rates over a long and a short window that together raise an alert."""
+    """An alert that is raised if the burn rates over a long and a short window reach a minimum."""
 
     severity: Severity
     long_window_s: int
@@ -58,12 +58,15 @@
     AlertRule(Severity.PAGE, 21600, 1800, 6.0),
     AlertRule(Severity.TICKET, 21600, 3600, 1.0),
 )
-"""The workbook's, but for the three-day window, which is longer than routers remember."""
+"""Rules from the workbook, without its three-day window, which exceeds the routers' retention."""
 
 
 @dataclass(frozen=True, slots=True)
 class BurnRow:
-    """The burn of one customer and class; its latencies are None where they are not kept."""
+    """Burn rates of one customer and request class.
+
+    The latency percentiles are None if latencies are not recorded.
+    """
 
     customer: str
     klass: str
@@ -78,19 +81,19 @@
 
 
 def _make_histogram() -> "HdrHistogram":
-    # Imported only where latencies are kept: not by routers of the direct path, which start fast.
+    # Imported lazily: routers of the direct path record no latencies and must start fast.
     from hdrh.histogram import HdrHistogram
 
     return HdrHistogram(MIN_LATENCY_MS, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
-class _Cell:
+class _Counts:
     good: int = 0
     bad: int = 0
     histogram: "HdrHistogram | None" = None
 
-    def note_latency(self, latency_s: float) -> None:
+    def record_latency(self, latency_s: float) -> None:
         if self.histogram is None:
             self.histogram = _make_histogram()
         self.histogram.record_value(
@@ -105,44 +108,44 @@
 
 
 class BurnCounter:
-    """What one router has counted, by minute.
+    """Counts of good and bad requests at one router, by minute.
 
     Parameters
     ----------
-    keep_s : int
-        How far back the book goes.
+    retention_s : int
+        How long counts are retained, in seconds.
     has_latencies : bool
-        Whether latencies are kept besides the counts; they take some 16 KB for each customer, class
-        and minute.
+        Whether latency histograms are recorded as well; they take about 16 KB for each customer,
+        class and minute.
     """
 
     def __init__(self, retention_s: int = max(WINDOWS_S), has_latencies: bool = True) -> None:
         self._has_latencies = has_latencies
-        self._slices: deque[tuple[int, dict[tuple[str, str], _Cell]]] = deque(
+        self._slices: deque[tuple[int, dict[tuple[str, str], _Counts]]] = deque(
             maxlen=retention_s // SLICE_S + 1
         )
 
     def count(
         self, now_s: float, customer: str, klass: str, is_good: bool, latency_s: float
     ) -> None:
-        """Count a request that has ended."""
+        """Count a finished request."""
         slot = int(now_s // SLICE_S)
         if not self._slices or self._slices[-1][0] != slot:
             self._slices.append((slot, {}))
-        cell = self._slices[-1][1].setdefault((customer, klass), _Cell())
+        counts = self._slices[-1][1].setdefault((customer, klass), _Counts())
         if is_good:
-            cell.good += 1
+            counts.good += 1
         else:
-            cell.bad += 1
+            counts.bad += 1
         if self._has_latencies:
-            cell.note_latency(latency_s)
+            counts.record_latency(latency_s)
 
     def slices(self) -> list[BurnSlice]:
-        """Return everything in the book, in a form that can be merged exactly."""
+        """Return all counts as slices that `merge_slices` merges exactly."""
         return [
-            BurnSlice(slot, customer, klass, cell.good, cell.bad, _encode(cell.histogram))
-            for slot, cells in self._slices
-            for (customer, klass), cell in cells.items()
+            BurnSlice(slot, customer, klass, counts.good, counts.bad, _encode(counts.histogram))
+            for slot, slots in self._slices
+            for (customer, klass), counts in slots.items()
         ]
 
 
@@ -150,36 +153,36 @@
     return b"" if histogram is None else histogram.encode()
 
 
-def merge_slices(slices: Iterable[BurnSlice]) -> dict[tuple[str, str], dict[int, _Cell]]:
-    """Merge the slices of several routers; counts and histograms add up exactly."""
-    merged: dict[tuple[str, str], dict[int, _Cell]] = {}
+def merge_slices(slices: Iterable[BurnSlice]) -> dict[tuple[str, str], dict[int, _Counts]]:
+    """Merge the slices of several routers; counts and histograms are added without loss."""
+    merged: dict[tuple[str, str], dict[int, _Counts]] = {}
     for part in slices:
-        cells = merged.setdefault((part.customer, part.klass), {})
-        cell = cells.setdefault(part.slot, _Cell())
-        cell.good += part.good
-        cell.bad += part.bad
-        cell.add_latencies(part.histogram)
+        slots = merged.setdefault((part.customer, part.klass), {})
+        counts = slots.setdefault(part.slot, _Counts())
+        counts.good += part.good
+        counts.bad += part.bad
+        counts.add_latencies(part.histogram)
     return merged
 
 
 def burn_rows(
     slices: Iterable[BurnSlice], objectives: dict[str, tuple[float, float]], now_s: float
 ) -> list[BurnRow]:
-    """Return the burn of every customer and class that has an objective.
+    """Return the burn rates of every customer and class that has an objective.
 
     Parameters
     ----------
     slices : iterable of BurnSlice
-        Of all routers.
+        Slices of all routers.
     objectives : dict
-        By class: share of requests that are to be good, and their latency in seconds.
+        Maps a class to its target share of good requests and its latency in seconds.
     now_s : float
     """
     rows = []
-    for (customer, klass), cells in sorted(merge_slices(slices).items()):
+    for (customer, klass), slots in sorted(merge_slices(slices).items()):
         if klass in objectives:
             objective, latency_s = objectives[klass]
-            rows.append(_row(customer, klass, objective, latency_s, cells, now_s))
+            rows.append(_row(customer, klass, objective, latency_s, slots, now_s))
     return rows
 
 
@@ -188,30 +191,30 @@
     klass: str,
     objective: float,
     latency_s: float,
-    cells: dict[int, _Cell],
+    slots: dict[int, _Counts],
     now_s: float,
 ) -> BurnRow:
-    rates = {window_s: _rate(cells, window_s, now_s, objective) for window_s in WINDOWS_S}
-    histograms = [cell.histogram for cell in cells.values() if cell.histogram is not None]
+    rates = {window_s: _rate(slots, window_s, now_s, objective) for window_s in WINDOWS_S}
+    histograms = [counts.histogram for counts in slots.values() if counts.histogram is not None]
     total = _make_histogram() if histograms else None
     if total is not None:
         for histogram in histograms:
             total.add(histogram)
     severity = Severity.NONE
-    for alert in ALERT_RULES:
+    for rule in ALERT_RULES:
         if (
-            rates[alert.long_window_s] >= alert.min_rate
-            and rates[alert.short_window_s] >= alert.min_rate
+            rates[rule.long_window_s] >= rule.min_rate
+            and rates[rule.short_window_s] >= rule.min_rate
         ):
-            severity = alert.severity
+            severity = rule.severity
             break
-    bad = sum(cell.bad for cell in cells.values())
+    bad = sum(counts.bad for counts in slots.values())
     return BurnRow(
         customer,
         klass,
         objective,
         latency_s,
-        bad + sum(cell.good for cell in cells.values()),
+        bad + sum(counts.good for counts in slots.values()),
         bad,
         None if total is None else total.get_value_at_percentile(50),
         None if total is None else total.get_value_at_percentile(99),
@@ -220,11 +223,11 @@
     )
 
 
-def _rate(cells: dict[int, _Cell], window_s: int, now_s: float, objective: float) -> float:
-    """Return the burn rate over a window that ends now."""
+def _rate(slots: dict[int, _Counts], window_s: int, now_s: float, objective: float) -> float:
+    """Return the burn rate over the window that ends at ``now_s``."""
     oldest = int((now_s - window_s) // SLICE_S) + 1
-    good = sum(cell.good for slot, cell in cells.items() if slot >= oldest)
-    bad = sum(cell.bad for slot, cell in cells.items() if slot >= oldest)
+    good = sum(counts.good for slot, counts in slots.items() if slot >= oldest)
+    bad = sum(counts.bad for slot, counts in slots.items() if slot >= oldest)
     if good + bad == 0:
         return 0.0
     return round(bad / (good + bad) / (1.0 - objective), 3)
--- a/umberhitch/core/claims.py
+++ b/umberhitch/core/claims.py
@@ -1,7 +1,7 @@
 """Idempotency keys: a fold of the claims stream, in which the first claim of a key wins.
 
-A claim names the attempt and the agent that it allows, so that another router can settle what
-became of it: by asking that agent, whose tombstone makes "not run" true.
+A claim names the attempt and its agent. Another router can therefore determine the outcome by
+asking that agent, whose tombstone guarantees that an attempt reported as not run never runs.
 """
 
 from collections import OrderedDict
@@ -28,7 +28,7 @@
 
 
 class Claim(Struct, frozen=True, tag="claim", omit_defaults=True):
-    """A request asks for the key, for one attempt at one agent."""
+    """A request claims the key for one attempt at one agent."""
 
     key: str
     request: str
@@ -36,13 +36,13 @@
     endpoint: str
     agent_incarnation: int
     fingerprint: str
-    """Hash of the request; the same key with another request is refused."""
+    """Hash of the request; reuse of the key for a different request is refused."""
     at_s: float
-    """Seconds since the epoch, by the writer's clock."""
+    """Time of the claim in seconds since the epoch, by the writer's clock."""
 
 
 class RecordedAnswer(Struct, frozen=True, omit_defaults=True):
-    """The answer that later callers with the same key get."""
+    """The answer returned to later requests with the same key."""
 
     text: str
     usage: Usage
@@ -54,7 +54,7 @@
 
 
 class Settle(Struct, frozen=True, tag="settle", omit_defaults=True):
-    """The request's outcome: an answer, or unknown for good."""
+    """The final outcome of the request: an answer, or permanently unknown."""
 
     key: str
     request: str
@@ -64,7 +64,7 @@
 
 
 class Release(Struct, frozen=True, tag="release"):
-    """The claimed attempt certainly did not run; the key is free again."""
+    """Releases the key, since the claimed attempt certainly did not run."""
 
     key: str
     request: str
@@ -83,20 +83,20 @@
 
 
 def decode_claim_record(data: bytes) -> ClaimRecord:
-    """Return the record that `encode_claim_record` wrote."""
+    """Decode a record written by `encode_claim_record`."""
     return _decoder.decode(data)
 
 
 @dataclass(slots=True)
 class ClaimState:
-    """Who holds a key, and what became of it."""
+    """Claim that holds a key, and its outcome if it is settled."""
 
     claim: Claim
     settled: Settle | None = None
 
 
 class ClaimFold:
-    """The state of the claims stream.
+    """State of the claims stream.
 
     Attributes
     ----------
@@ -114,11 +114,11 @@
         return len(self._keys)
 
     def holder(self, key: str) -> ClaimState | None:
-        """Return who holds the key now."""
+        """Return the state of a key that is held, or None."""
         return self._keys.get(key)
 
     def apply(self, offset: int, data: bytes) -> ClaimRecord | None:
-        """Apply the record at ``offset``; returns it unless it is malformed or old."""
+        """Apply the record at ``offset`` and return it, or None if it is malformed or old."""
         if offset < self.next_offset:
             return None
         self.next_offset = offset + 1
@@ -170,5 +170,8 @@
 
 
 def _is_later_attempt(new: Claim, old: Claim) -> bool:
-    """Whether a claim moves its own request on; a repeated append must not move it back."""
+    """Whether a claim is for a later attempt of the same request.
+
+    A duplicate append of an older claim must not replace a newer one.
+    """
     return new.request == old.request and new.attempt.seq > old.attempt.seq
--- a/umberhitch/core/detector.py
+++ b/umberhitch/core/detector.py
@@ -1,12 +1,12 @@
-"""Sequential detection of a version that has turned bad.
-
-Each observation is a badness in [0, 1]: one minus a rating, or whether an answer failed, or whether
-it was slow. Under the hypothesis that the mean badness is at most ``limit`` the product of
-``1 + bet * (badness - limit)`` is a test supermartingale. The detector keeps the sum of such
-products over every possible moment of the change, for a few bets at once, which is an e-detector
-(Shin, Ramdas and Rinaldo, "E-detectors: a nonparametric framework for sequential change
-detection", 2024): with a threshold of ``1 / alpha`` the mean number of observations to a false
-alarm is at least ``1 / alpha``, whatever the distribution.
+"""Sequential detection of a version whose quality has degraded.
+
+Each observation is a badness in [0, 1]: one minus a rating, or an indicator of a failed or a slow
+answer. Under the hypothesis that the mean badness is at most ``limit``, the product of
+``1 + bet * (badness - limit)`` is a test supermartingale. The detector keeps the sum of these
+products over all possible change points, for several bets at once. This is an e-detector (Shin,
+Ramdas and Rinaldo, "E-detectors: a nonparametric framework for sequential change detection",
+2024): with a threshold of ``1 / alpha``, the mean number of observations until a false alarm is at
+least ``1 / alpha`` for any distribution.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,23 +15,23 @@
 __all__ = ["BETS", "Baseline", "Detector"]
 
 BETS = (0.15, 0.3, 0.5, 0.7, 0.9)
-"""Bets as fractions of the largest that is safe; small ones find small changes."""
+"""Bets as fractions of the largest safe bet; small bets detect small changes."""
 
 MAX_SUM = 1e200
 
 
 @dataclass
 class Detector:
-    """Watches one stream of badness.
+    """Change detector for one stream of badness observations.
 
     Attributes
     ----------
     limit : float
-        Mean badness that is still good, strictly between 0 and 1.
+        Largest acceptable mean badness, strictly between 0 and 1.
     alpha : float
-        One over the mean number of good observations between false alarms.
+        Inverse of the mean number of good observations between false alarms.
     count : int
-        Observations so far.
+        Number of observations so far.
     """
 
     limit: float
@@ -40,10 +40,10 @@
     _sums: list[float] = field(default_factory=lambda: [0.0] * len(BETS))
 
     def observe(self, badness: Sequence[float]) -> bool:
-        """Take a batch of observations; returns whether the alarm is raised.
+        """Add a batch of observations and return whether the alarm is raised.
 
-        A batch is one step of the test, since the order within it says nothing: a count of failures
-        that was put first in its batch would look like a run of failures.
+        A batch is one step of the test, since the order within it carries no information: failures
+        that are listed first in each batch would look like a run of failures.
         """
         self.count += len(badness)
         for index, bet in enumerate(BETS):
@@ -55,23 +55,23 @@
 
     @property
     def e_value(self) -> float:
-        """The e-value by which the version is bad: the mean over the bets."""
+        """The e-value against the hypothesis that the version is good: the mean over the bets."""
         return sum(self._sums) / len(self._sums)
 
     @property
     def is_alarmed(self) -> bool:
-        """Whether the evidence has reached ``1 / alpha``."""
+        """Whether the e-value has reached ``1 / alpha``."""
         return self.e_value * self.alpha >= 1.0
 
 
 @dataclass
 class Baseline:
-    """The mean of what is known to be good, learned from the first observations.
+    """Mean badness of the first observations, which are assumed to be good.
 
     Attributes
     ----------
     needed : int
-        Observations before it is used.
+        Number of observations needed before the mean is available.
     """
 
     min_observations: int = 100
@@ -79,7 +79,7 @@
     total: float = 0.0
 
     def add(self, values: Iterable[float]) -> None:
-        """Take observations, until enough are known."""
+        """Add observations until there are enough; later ones are ignored."""
         for value in values:
             if self.count < self.min_observations:
                 self.count += 1
@@ -87,5 +87,5 @@
 
     @property
     def mean(self) -> float | None:
-        """The mean, or None while too little is known."""
+        """The mean, or None while there are too few observations."""
         return self.total / self.count if self.count >= self.min_observations else None
--- a/umberhitch/core/evidence.py
+++ b/umberhitch/core/evidence.py
@@ -1,8 +1,8 @@
-"""Evidence on versions: collected at routers, pooled and judged at a few of them.
+"""Evidence on versions: collected at all routers, pooled and evaluated at a few of them.
 
-A judge holds three detectors for each version and class of request: on ratings, on failures and on
-latency. Each compares with a reference: the version's own beginning or, for a version that is
-rolled out, the one it replaces.
+`VersionJudge` holds three detectors for each version and request class: on ratings, on failures
+and on latency. Each compares with a baseline: the first observations of the version itself or, for
+a version that is being rolled out, those of the version that it replaces.
 """
 
 from dataclasses import dataclass, field
@@ -21,18 +21,18 @@
 ]
 
 MAX_SAMPLES = 256
-"""Ratings of one version and class that a router holds until it next passes them on."""
+"""Maximum number of ratings and of latencies per version and class that a router buffers."""
 
 RATING_STEPS = 200
-"""Ratings travel as whole steps of one two-hundredth."""
+"""Ratings are sent as integers in units of 1/200."""
 
 
 FALLBACK_SIGNALS: frozenset[str] = frozenset({"failures", "latency"})
-"""Signals that may have a cause outside the version; they need another version to turn to."""
+"""Signals with possible causes outside the version; acting on them requires another version."""
 
 
 class Signal(StrEnum):
-    """What an alarm was raised on."""
+    """The kind of observations that raised an alarm."""
 
     RATINGS = "ratings"
     FAILURES = "failures"
@@ -41,22 +41,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EvidenceLimits:
-    """How much worse than its reference a version may be.
+    """How much worse than its baseline a version may be.
 
     Attributes
     ----------
     rating_slack : float
-        Mean rating may be this much lower.
+        Allowed decrease of the mean rating.
     failure_floor : float
-        Share of failures that is always borne.
+        Share of failures that is always allowed.
     failure_factor : float
-        Failures may be this many times the reference's.
+        Allowed share of failures as a multiple of the baseline.
     slow_factor : float
-        A request is slow if it takes this many times the reference's mean.
+        Multiple of the baseline's mean latency above which a request counts as slow.
     slow_share : float
-        Share of slow requests that is borne.
+        Allowed share of slow requests.
+    baseline_observations : int
+        Number of observations that make up a baseline.
     alpha : float
-        See `Detector`.
+        Inverse of the mean number of observations between false alarms; see `Detector`.
     """
 
     rating_slack: float = 0.03
@@ -70,13 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """A version is judged bad."""
+    """A version that was found to be bad, and why."""
 
     version: str
     klass: str
     signal: Signal
     observations: int
-    """Observed by that detector since it began."""
+    """Number of observations of the detector that raised the alarm."""
 
 
 @dataclass(slots=True)
@@ -88,7 +90,7 @@
 
 
 class EvidenceBuffer:
-    """What one router has observed and not yet passed on."""
+    """Observations of one router that it has not yet sent."""
 
     def __init__(self) -> None:
         self._tallies: dict[tuple[str, str], _Tally] = {}
@@ -97,7 +99,7 @@
         return self._tallies.setdefault((version, klass), _Tally())
 
     def record_attempt(self, version: str, klass: str, is_done: bool, latency_s: float) -> None:
-        """Note how an attempt ended."""
+        """Record the result of an attempt."""
         tally = self._tally(version, klass)
         if is_done:
             tally.done += 1
@@ -107,13 +109,13 @@
             tally.failed += 1
 
     def record_rating(self, version: str, klass: str, rating: float) -> None:
-        """Note a rating between 0 and 1."""
+        """Record a rating between 0 and 1."""
         tally = self._tally(version, klass)
         if len(tally.ratings) < MAX_SAMPLES:
             tally.ratings.append(round(min(1.0, max(0.0, rating)) * RATING_STEPS))
 
     def flush(self) -> list[Evidence]:
-        """Return and forget what was observed."""
+        """Return the buffered observations and clear the buffer."""
         tallies, self._tallies = self._tallies, {}
         return [
             Evidence(version, klass, tally.ratings, tally.done, tally.failed, tally.latencies_ms)
@@ -122,8 +124,8 @@
 
 
 @dataclass(slots=True)
-class _Watch:
-    """What a judge holds of one version and class."""
+class _VersionState:
+    """Baselines and detectors of one version and class."""
 
     ratings: Baseline
     failures: Baseline
@@ -134,7 +136,7 @@
 
 
 class VersionJudge:
-    """Owns the detectors of one router.
+    """Detectors of one router, for all versions and classes.
 
     Parameters
     ----------
@@ -143,51 +145,51 @@
 
     def __init__(self, limits: EvidenceLimits | None = None) -> None:
         self._limits = limits or EvidenceLimits()
-        self._watches: dict[tuple[str, str], _Watch] = {}
+        self._states: dict[tuple[str, str], _VersionState] = {}
         self._previous: dict[str, str] = {}
         self.attempt_counts: dict[str, int] = {}
-        """Ended attempts seen of each version."""
+        """Number of finished attempts by version."""
         self.rating_counts: dict[str, int] = {}
-        """Ratings seen of each version."""
+        """Number of ratings by version."""
 
     def set_predecessor(self, version: str, previous: str) -> None:
-        """Take the reference of a version from the one that it replaces."""
+        """Compare a version with the baseline of the version that it replaces."""
         self._previous[version] = previous
 
     def reset(self, version: str) -> None:
-        """Begin anew with a version."""
-        for key in [key for key in self._watches if key[0] == version]:
-            del self._watches[key]
+        """Discard the baselines and detectors of a version."""
+        for key in [key for key in self._states if key[0] == version]:
+            del self._states[key]
 
-    def _watch(self, version: str, klass: str) -> _Watch:
+    def _state(self, version: str, klass: str) -> _VersionState:
         key = (version, klass)
-        if key not in self._watches:
-            needed = self._limits.baseline_observations
-            self._watches[key] = _Watch(Baseline(needed), Baseline(needed), Baseline(needed))
-        return self._watches[key]
-
-    def _reference(self, version: str, klass: str) -> _Watch:
-        """Return the watch whose references a version is held against."""
-        own = self._watch(version, klass)
+        if key not in self._states:
+            count = self._limits.baseline_observations
+            self._states[key] = _VersionState(Baseline(count), Baseline(count), Baseline(count))
+        return self._states[key]
+
+    def _baseline_state(self, version: str, klass: str) -> _VersionState:
+        """Return the state whose baselines a version is compared with."""
+        own = self._state(version, klass)
         previous = self._previous.get(version)
-        other = self._watches.get((previous, klass)) if previous else None
+        other = self._states.get((previous, klass)) if previous else None
         return other if other is not None and other.failures.mean is not None else own
 
     def observe(self, evidence: Evidence) -> Alarm | None:
-        """Take one router's evidence; returns the first alarm that it raises."""
+        """Add the evidence of one router and return the first alarm that it raises, or None."""
         version, klass = evidence.version, evidence.klass
         ended = evidence.done + evidence.failed
         self.attempt_counts[version] = self.attempt_counts.get(version, 0) + ended
         self.rating_counts[version] = self.rating_counts.get(version, 0) + len(evidence.ratings)
-        own = self._watch(version, klass)
-        reference = self._reference(version, klass)
+        own = self._state(version, klass)
+        baseline = self._baseline_state(version, klass)
         badness = [1.0 - rating / RATING_STEPS for rating in evidence.ratings]
         failures = [1.0] * evidence.failed + [0.0] * evidence.done
         latencies_s = [latency_ms / 1000 for latency_ms in evidence.latencies_ms]
         alarm = (
-            self._judge_ratings(own, reference, badness)
-            or self._judge_failures(own, reference, failures)
-            or self._judge_latency(own, reference, latencies_s)
+            self._check_ratings(own, baseline, badness)
+            or self._check_failures(own, baseline, failures)
+            or self._check_latency(own, baseline, latencies_s)
         )
         own.ratings.add(badness)
         own.failures.add(failures)
@@ -196,41 +198,41 @@
             return None
         return Alarm(version, klass, alarm[0], alarm[1])
 
-    def _judge_ratings(
-        self, own: _Watch, reference: _Watch, badness: list[float]
+    def _check_ratings(
+        self, own: _VersionState, baseline: _VersionState, badness: list[float]
     ) -> tuple[Signal, int] | None:
-        mean = reference.ratings.mean
+        mean = baseline.ratings.mean
         if mean is None:
             return None
         if own.rating_detector is None:
             limit = min(0.95, mean + self._limits.rating_slack)
             own.rating_detector = Detector(limit, self._limits.alpha)
-        return _alarm_of(own.rating_detector, badness, Signal.RATINGS)
+        return _observe(own.rating_detector, badness, Signal.RATINGS)
 
-    def _judge_failures(
-        self, own: _Watch, reference: _Watch, failures: list[float]
+    def _check_failures(
+        self, own: _VersionState, baseline: _VersionState, failures: list[float]
     ) -> tuple[Signal, int] | None:
-        mean = reference.failures.mean
+        mean = baseline.failures.mean
         if own.failure_detector is None:
-            known = mean if mean is not None else 0.0
-            borne = max(self._limits.failure_floor, self._limits.failure_factor * known)
-            own.failure_detector = Detector(min(0.9, borne), self._limits.alpha)
-        return _alarm_of(own.failure_detector, failures, Signal.FAILURES)
+            baseline_mean = mean if mean is not None else 0.0
+            allowed = max(self._limits.failure_floor, self._limits.failure_factor * baseline_mean)
+            own.failure_detector = Detector(min(0.9, allowed), self._limits.alpha)
+        return _observe(own.failure_detector, failures, Signal.FAILURES)
 
-    def _judge_latency(
-        self, own: _Watch, reference: _Watch, latencies_s: list[float]
+    def _check_latency(
+        self, own: _VersionState, baseline: _VersionState, latencies_s: list[float]
     ) -> tuple[Signal, int] | None:
-        mean = reference.latency.mean
+        mean = baseline.latency.mean
         if mean is None:
             return None
         if own.latency_detector is None:
             own.latency_detector = Detector(self._limits.slow_share, self._limits.alpha)
-        border_s = mean * self._limits.slow_factor
-        slow = [1.0 if latency_s > border_s else 0.0 for latency_s in latencies_s]
-        return _alarm_of(own.latency_detector, slow, Signal.LATENCY)
+        threshold_s = mean * self._limits.slow_factor
+        slow = [1.0 if latency_s > threshold_s else 0.0 for latency_s in latencies_s]
+        return _observe(own.latency_detector, slow, Signal.LATENCY)
 
 
-def _alarm_of(detector: Detector, values: list[float], signal: Signal) -> tuple[Signal, int] | None:
+def _observe(detector: Detector, values: list[float], signal: Signal) -> tuple[Signal, int] | None:
     if values and detector.observe(values):
         return signal, detector.count
     return None
--- a/umberhitch/core/fencing.py
+++ b/umberhitch/core/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing at an endpoint: orders with an older token than one that was seen are refused."""
+"""Fencing at an endpoint: orders with a token older than the newest one seen are refused."""
 
 from umberhitch.core.leases import NO_TOKEN
 
@@ -6,14 +6,15 @@
 
 
 class Fence:
-    """The newest fencing token that an agent has heard of.
+    """The newest fencing token that an agent has seen.
 
-    A new agent knows none, so that it waits until it has heard what routers know before it obeys.
+    A new agent has seen none. It admits no orders until it has had time to receive the newest
+    token from the routers.
 
     Parameters
     ----------
     opens_s : float
-        When the agent has heard enough, on its clock.
+        Time in seconds, on the agent's clock, from which orders are admitted.
     """
 
     def __init__(self, opens_s: float) -> None:
@@ -21,11 +22,11 @@
         self.token = NO_TOKEN
 
     def observe(self, token: int) -> None:
-        """Learn of a token."""
+        """Record a token."""
         self.token = max(self.token, token)
 
     def admits(self, token: int, now_s: float) -> bool:
-        """Whether an order with this token may be carried out now."""
+        """Whether an order with this token may be executed now; records the token if so."""
         if now_s < self._opens_s or token < self.token:
             return False
         self.token = token
--- a/umberhitch/core/leases.py
+++ b/umberhitch/core/leases.py
@@ -1,9 +1,10 @@
 """Leases as a fold of one log stream; the offset of an accepted acquisition is its fencing token.
 
-The fold knows no time. Who finds a lease expired says so by naming the token that it replaces; the
-log's order decides between several who do. A holder that was replaced while it was paused may
-still believe in its lease, so that whatever it orders carries its token and is checked where it
-takes effect (Lamport's fencing; see docs/design/0006-leases-and-orders.md).
+The fold does not depend on time. A router that finds a lease expired names the token that it
+replaces; if several routers do so, the order of the log decides. A holder that was replaced while
+it was paused may still believe that it holds the lease. Therefore every order carries the holder's
+token, which is checked where the order takes effect (Lamport's fencing; see
+docs/design/0006-leases-and-orders.md).
 """
 
 from dataclasses import dataclass
@@ -25,21 +26,21 @@
 
 
 class Acquire(Struct, frozen=True, tag="acquire"):
-    """A router takes a lease that is free, or that it has found expired."""
+    """A router acquires a lease that is free or has expired."""
 
     name: str
     holder: str
     incarnation: int
     previous: int
-    """Token of the lease that has expired; `NO_TOKEN` if there was none."""
+    """Token of the lease that is replaced; `NO_TOKEN` if there was none."""
     ttl_s: float
 
 
 class Renew(Struct, frozen=True, tag="renew"):
-    """The holder keeps its lease.
+    """The holder renews its lease.
 
-    It says all there is to know of the lease, for a reader from whom the log's retention has taken
-    the acquisition.
+    The record describes the lease in full, since the retention of the log may have removed the
+    acquisition before a reader starts.
     """
 
     name: str
@@ -50,7 +51,7 @@
 
 
 class Yield(Struct, frozen=True, tag="yield"):
-    """The holder gives its lease up."""
+    """The holder releases its lease."""
 
     name: str
     token: int
@@ -68,13 +69,13 @@
 
 
 def decode_lease_record(data: bytes) -> LeaseRecord:
-    """Return the record that `encode_lease_record` wrote."""
+    """Decode a record written by `encode_lease_record`."""
     return _decoder.decode(data)
 
 
 @dataclass(slots=True)
 class Lease:
-    """Who holds a lease, as of the log."""
+    """State of one lease, according to the log."""
 
     holder: str
     incarnation: int
@@ -84,14 +85,20 @@
 
 
 class LeaseFold:
-    """The state of the leases stream."""
+    """State of the leases stream."""
 
     def __init__(self) -> None:
         self.next_offset = 0
         self.leases: dict[str, Lease] = {}
 
     def apply(self, offset: int, data: bytes) -> str | None:
-        """Apply the record at ``offset``; returns the lease that it is about."""
+        """Apply the record at ``offset``.
+
+        Returns
+        -------
+        str or None
+            Name of the lease, or None if the record is malformed or was applied before.
+        """
         if offset < self.next_offset:
             return None
         self.next_offset = offset + 1
--- a/umberhitch/core/ledger.py
+++ b/umberhitch/core/ledger.py
@@ -1,8 +1,8 @@
-"""The agent's ledger of attempts: what makes a start idempotent and a refusal final.
+"""The agent's ledger of attempts, which makes starts idempotent and refusals final.
 
-The ledger is bounded. An entry leaves it only when it is terminal, and its number then raises the
-floor of the router incarnation that issued it: an attempt at or below the floor that is not in the
-ledger is never run, since it may have run before.
+The ledger is bounded. An entry is evicted only when it is terminal; its sequence number then raises
+the floor of the router incarnation that issued it. An attempt at or below the floor that is not in
+the ledger is never run, since it may have run before.
 """
 
 from collections import OrderedDict
@@ -30,16 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerLimits:
-    """Bounds of a ledger.
+    """Limits of a ledger.
 
     Attributes
     ----------
-    entries : int
-        Attempts held; when all of them are running, new ones are refused.
-    buffered_chars : int
-        Characters of answers held for a repeat; the oldest ended answers go first.
-    routers : int
-        Routers whose floors are remembered.
+    max_entries : int
+        Maximum number of attempts; if none of them has ended, new ones are refused.
+    max_buffered_chars : int
+        Maximum number of characters of finished answers that are kept for retransmission; the
+        oldest finished answers are dropped first.
+    max_routers : int
+        Maximum number of routers whose floors are stored.
     """
 
     max_entries: int = 4096
@@ -49,26 +50,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Inserted:
-    """The attempt was not known and is now in the ledger, queued."""
+    """The attempt was unknown and has been inserted."""
 
     entry: AttemptEntry
 
 
 @dataclass(frozen=True, slots=True)
 class Existing:
-    """The attempt is in the ledger already."""
+    """The attempt was already in the ledger."""
 
     entry: AttemptEntry
 
 
 @dataclass(frozen=True, slots=True)
 class BelowFloor:
-    """The attempt may have run and been forgotten; it must not run, nor be called not run."""
+    """The attempt may have run and been evicted; it must neither run nor be reported as not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerFull:
-    """Every entry of the ledger is live; the attempt is not taken."""
+    """No entry of the ledger has ended; the attempt is not inserted."""
 
 
 AdmitResult = Inserted | Existing | BelowFloor | LedgerFull
@@ -81,7 +82,7 @@
 
 
 class Ledger:
-    """Attempts of one agent incarnation, by id.
+    """Attempts of one agent incarnation, by identifier.
 
     Parameters
     ----------
@@ -91,7 +92,7 @@
     def __init__(self, limits: LedgerLimits | None = None) -> None:
         self._limits = limits or LedgerLimits()
         self._entries: OrderedDict[AttemptId, AttemptEntry] = OrderedDict()
-        self._lives: dict[AttemptId, AttemptLifecycle] = {}
+        self._lifecycles: dict[AttemptId, AttemptLifecycle] = {}
         self._floors: OrderedDict[str, _Floor] = OrderedDict()
         self._ended: OrderedDict[AttemptId, AttemptEntry] = OrderedDict()
         self._buffered = 0
@@ -101,20 +102,20 @@
 
     @property
     def live_count(self) -> int:
-        """Attempts that have not ended."""
+        """Number of attempts that have not ended."""
         return len(self._entries) - len(self._ended)
 
     @property
     def buffered_chars(self) -> int:
-        """Characters of ended answers that are held."""
+        """Number of characters of finished answers that are kept."""
         return self._buffered
 
     def get(self, attempt: AttemptId) -> AttemptEntry | None:
-        """Return the entry of an attempt, if the ledger holds it."""
+        """Return the entry of an attempt, or None if it is not in the ledger."""
         return self._entries.get(attempt)
 
     def admit(self, start: Start, deadline_s: float) -> AdmitResult:
-        """Take an attempt into the ledger, unless it is there or was there."""
+        """Insert an attempt, unless it is or may have been in the ledger."""
         entry = self._entries.get(start.attempt)
         if entry is not None:
             return Existing(entry)
@@ -125,7 +126,7 @@
         return Inserted(self._insert(AttemptEntry(start.attempt, start, deadline_s)))
 
     def tombstone(self, attempt: AttemptId) -> AdmitResult:
-        """Refuse for ever an attempt that has not arrived; otherwise return what is known."""
+        """Refuse an attempt for good if it has not arrived; otherwise return its known state."""
         entry = self._entries.get(attempt)
         if entry is not None:
             return Existing(entry)
@@ -139,29 +140,35 @@
 
     def _insert(self, entry: AttemptEntry) -> AttemptEntry:
         self._entries[entry.attempt] = entry
-        self._lives[entry.attempt] = make_attempt_lifecycle(entry)
+        self._lifecycles[entry.attempt] = make_attempt_lifecycle(entry)
         return entry
 
     def record_start(self, entry: AttemptEntry) -> None:
-        """Record that the back end is about to be given the call."""
-        self._lives[entry.attempt].start()
+        """Record that the call is about to be passed to the back end."""
+        self._lifecycles[entry.attempt].start()
 
     def record_result(self, entry: AttemptEntry, result: AttemptResult) -> None:
-        """Record the last message on an attempt; raises ``automat.NoTransition`` on a second."""
-        life = self._lives[entry.attempt]
+        """Record the terminal message of an attempt.
+
+        Raises
+        ------
+        automat.NoTransition
+            If the attempt cannot end in this way from its present state.
+        """
+        lifecycle = self._lifecycles[entry.attempt]
         match result:
             case Refused():
-                life.refuse(result)
+                lifecycle.refuse(result)
             case Finished():
-                life.complete(result)
+                lifecycle.complete(result)
             case Failed():
-                life.fail(result)
-        del self._lives[entry.attempt]
+                lifecycle.fail(result)
+        del self._lifecycles[entry.attempt]
         self._ended[entry.attempt] = entry
         self._buffered += entry.length
-        self._trim_text()
+        self._drop_excess_text()
 
-    def _trim_text(self) -> None:
+    def _drop_excess_text(self) -> None:
         if self._buffered <= self._limits.max_buffered_chars:
             return
         for entry in self._ended.values():
--- a/umberhitch/core/outcome.py
+++ b/umberhitch/core/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a request: three outcomes, never two."""
+"""The outcome of a request: done, not run, or unknown."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request was not done."""
+    """Reason why a request was not done."""
 
     NOT_PERMITTED = "not_permitted"
     UNKNOWN_MODEL = "unknown_model"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The whole answer was received."""
+    """The complete answer was received."""
 
     text: str
     usage: Usage
@@ -47,12 +47,12 @@
     status: int = 200
     headers: tuple[tuple[str, str], ...] = ()
     replayed: bool = False
-    """Whether it is the recorded outcome of an earlier request with the same key."""
+    """Whether this is the recorded outcome of an earlier request with the same idempotency key."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """No back end ran the request, and none will."""
+    """No back end has run the request, and none will."""
 
     reason: Reason
     detail: str = ""
--- a/umberhitch/core/permission.py
+++ b/umberhitch/core/permission.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt runs: made by the agent, from its own configuration."""
+"""Final permission check of an attempt, made by the agent from its own configuration."""
 
 from umberhitch.config import Config, VersionState
 from umberhitch.core.outcome import Reason
@@ -10,7 +10,7 @@
 def refusal_for(
     config: Config, customer: str, target: str, session: Session | None
 ) -> Reason | None:
-    """Return why a customer's work must not run on a target, or None if it may.
+    """Return why a customer may not run work on a target, or None if it is permitted.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     target : str
         ``model@version``, or the name of a service.
     session : Session or None
-        The verified session that pins the target, if there is one.
+        Verified session that pins the target, if any.
     """
     owner = config.customers.get(customer)
     if owner is None:
--- a/umberhitch/core/queue.py
+++ b/umberhitch/core/queue.py
@@ -1,9 +1,10 @@
-"""The agent's queue: by priority, then fairly among customers.
+"""The agent's queue: by priority, then by weighted fair queueing among customers.
 
-Within a priority, waiting customers are served in proportion to their shares, and one that asks for
-less than its share is not held up by one that asks for more: start-time fair queueing (Goyal, Vin
-and Cheng, 1996), which divides what there is by max-min fairness. The shares are those of the
-Peloton paper's resource pools (Cai and Bansal, 2018), per customer.
+Within a priority, customers with waiting attempts are served in proportion to their shares, and a
+customer that uses less than its share is not delayed by one that uses more. The algorithm is
+start-time fair queueing (Goyal, Vin and Cheng, 1996), which divides capacity by max-min
+fairness. The shares are those of the resource pools of Peloton (Cai and Bansal, 2018), applied per
+customer.
 """
 
 from collections.abc import Iterator
@@ -20,70 +21,82 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuePosition:
-    """Where an attempt stands: a smaller one goes first."""
+    """Position of an attempt in the queue; smaller positions are served first."""
 
     priority: int
     start_tag: float
-    """Virtual time at which its customer's turn comes."""
+    """Start tag of the attempt, in virtual time."""
     sequence: int
 
 
 class WorkQueue:
-    """Attempts that wait for a slot; a lower priority number goes first."""
+    """Attempts that wait for a slot; lower priority numbers are served first."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[QueuePosition, AttemptId]] = []
         self._members: dict[AttemptId, tuple[QueuePosition, AttemptEntry]] = {}
-        self._count = 0
-        self._now: dict[int, float] = {}
-        self._finish: dict[tuple[int, str], float] = {}
+        self._next_sequence = 0
+        self._virtual_time: dict[int, float] = {}
+        self._finish_tags: dict[tuple[int, str], float] = {}
 
     def __len__(self) -> int:
         return len(self._members)
 
     def position_for(self, priority: int, customer: str) -> QueuePosition:
-        """Return the place that a customer's next attempt would get."""
-        now = self._now.get(priority, 0.0)
+        """Return the position that the next attempt of a customer would get."""
+        now = self._virtual_time.get(priority, 0.0)
         return QueuePosition(
-            priority, max(now, self._finish.get((priority, customer), 0.0)), self._count
+            priority,
+            max(now, self._finish_tags.get((priority, customer), 0.0)),
+            self._next_sequence,
         )
 
-    def push(self, place: QueuePosition, entry: AttemptEntry, customer: str, share: float) -> None:
-        """Add an attempt at the place that `place_for` gave."""
-        self._count += 1
-        self._finish[(place.priority, customer)] = place.start_tag + 1.0 / share
-        self._members[entry.attempt] = (place, entry)
-        heappush(self._heap, (place, entry.attempt))
-        self._forget_idle()
-
-    def _forget_idle(self) -> None:
-        """Drop customers whose turn has passed; they would start from the present again."""
-        if len(self._finish) <= MAX_IDLE_CUSTOMERS:
+    def push(
+        self, position: QueuePosition, entry: AttemptEntry, customer: str, share: float
+    ) -> None:
+        """Add an attempt at the position that `position_for` returned."""
+        self._next_sequence += 1
+        self._finish_tags[(position.priority, customer)] = position.start_tag + 1.0 / share
+        self._members[entry.attempt] = (position, entry)
+        heappush(self._heap, (position, entry.attempt))
+        self._drop_idle_customers()
+
+    def _drop_idle_customers(self) -> None:
+        """Drop customers whose finish tags have passed; they start at the current virtual time."""
+        if len(self._finish_tags) <= MAX_IDLE_CUSTOMERS:
             return
-        self._finish = {
-            key: finish
-            for key, finish in self._finish.items()
-            if finish > self._now.get(key[0], 0.0)
+        self._finish_tags = {
+            key: finish_tag
+            for key, finish_tag in self._finish_tags.items()
+            if finish_tag > self._virtual_time.get(key[0], 0.0)
         }
 
     def pop(self) -> AttemptEntry:
-        """Remove and return the first attempt; raises ``IndexError`` if there is none."""
+        """Remove and return the first attempt.
+
+        Raises
+        ------
+        IndexError
+            If the queue is empty.
+        """
         while True:
-            place, attempt = heappop(self._heap)
+            position, attempt = heappop(self._heap)
             member = self._members.get(attempt)
-            if member is not None and member[0] == place:
+            if member is not None and member[0] == position:
                 del self._members[attempt]
-                self._now[place.priority] = max(self._now.get(place.priority, 0.0), place.start_tag)
+                self._virtual_time[position.priority] = max(
+                    self._virtual_time.get(position.priority, 0.0), position.start_tag
+                )
                 return member[1]
 
     def last(self) -> tuple[QueuePosition, AttemptEntry] | None:
-        """Return the member that would go last, with its place."""
+        """Return the attempt that would be served last, with its position."""
         return max(self._members.values(), key=lambda member: member[0], default=None)
 
     def remove(self, entry: AttemptEntry) -> None:
-        """Remove an attempt, if it is there."""
+        """Remove an attempt, if it is queued."""
         self._members.pop(entry.attempt, None)
 
     def items(self) -> Iterator[AttemptEntry]:
-        """Iterate over a copy of the members."""
+        """Iterate over a copy of the queued attempts."""
         return iter([entry for _, entry in self._members.values()])
--- a/umberhitch/core/rollout.py
+++ b/umberhitch/core/rollout.py
@@ -1,8 +1,8 @@
-"""Roll-outs: which step comes next, decided from the configuration and what is observed.
+"""Roll-outs: selection of the next step from the configuration and the observed state.
 
-The plan and its progress stand in the configuration. Each step is a change that is based on the
-plan's revision, so that a step is made once whoever drives, and a driver that is lost midway leaves
-nothing but what the next one reads.
+The plan and its progress are stored in the configuration. Each step is a change based on the
+revision of the plan, so that it is applied once even if several drivers attempt it. A driver that
+is lost midway leaves no other state behind; the next driver continues from the configuration.
 """
 
 from collections import Counter
@@ -28,40 +28,40 @@
 ]
 
 MAX_CONCURRENT_LOADS = 2
-"""Endpoints that load weights at once; the weight store is rate-limited."""
+"""Maximum number of endpoints that load weights at once; the weight store is rate-limited."""
 
 
 class RolloutLifecycle(Protocol):
-    """Inputs of a roll-out's life cycle."""
+    """Inputs of a roll-out's state machine."""
 
     def start(self) -> None:
-        """The first stage begins."""
+        """Start the first stage."""
 
     def hold(self) -> None:
-        """Go no further for now."""
+        """Suspend the roll-out."""
 
     def resume(self) -> None:
-        """Go on after a hold."""
+        """Resume the roll-out after a hold."""
 
     def finish(self) -> None:
-        """The last stage has been passed."""
+        """Finish the roll-out after its last stage."""
 
     def roll_back(self) -> None:
         """Return to the previous version."""
 
 
 @dataclass(slots=True)
-class _Cell:
+class _StateCell:
     state: RolloutState
 
 
-_builder = TypeMachineBuilder(RolloutLifecycle, _Cell)
+_builder = TypeMachineBuilder(RolloutLifecycle, _StateCell)
 _states = {state: _builder.state(state.value) for state in RolloutState}
 
 
 def _transition(source: RolloutState, event: object, target: RolloutState) -> None:
     @_states[source].upon(event).to(_states[target])  # type: ignore[arg-type]
-    def move(life: RolloutLifecycle, cell: _Cell) -> None:
+    def move(lifecycle: RolloutLifecycle, cell: _StateCell) -> None:
         cell.state = target
 
 
@@ -77,27 +77,27 @@
 _make_machine = _builder.build()
 
 
-def make_rollout_lifecycle(state: RolloutState) -> tuple[RolloutLifecycle, _Cell]:
-    """Return the life cycle of a roll-out that stands at a state, and the cell that shows it."""
-    cell = _Cell(state)
-    life = _make_machine(cell)
+def make_rollout_lifecycle(state: RolloutState) -> tuple[RolloutLifecycle, _StateCell]:
+    """Return a state machine in the given state, and the cell that holds its present state."""
+    cell = _StateCell(state)
+    lifecycle = _make_machine(cell)
     match state:
         case RolloutState.RUNNING:
-            life.start()
+            lifecycle.start()
         case RolloutState.HELD:
-            life.hold()
+            lifecycle.hold()
         case RolloutState.DONE:
-            life.start()
-            life.finish()
+            lifecycle.start()
+            lifecycle.finish()
         case RolloutState.ROLLED_BACK:
-            life.roll_back()
+            lifecycle.roll_back()
     cell.state = state
-    return life, cell
+    return lifecycle, cell
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointView:
-    """An endpoint, as the driver sees it."""
+    """State of an endpoint, as observed by the driver."""
 
     name: str
     zone: str
@@ -108,16 +108,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutView:
-    """What is observed of a roll-out.
+    """Observed state of a roll-out.
 
     Attributes
     ----------
     answers : int
-        Answers of the new version that the driver has evidence of.
+        Number of answers of the new version in the driver's evidence.
     ratings : int
-        Ratings among them.
+        Number of ratings of the new version in the driver's evidence.
     has_ratings : bool
-        Whether the deployment has a rating service at all.
+        Whether the deployment has a rating service.
     """
 
     endpoints: tuple[EndpointView, ...]
@@ -127,12 +127,12 @@
     has_ratings: bool
     now_s: float
     driving_since_s: float = 0.0
-    """When the driver took over; it waits for evidence from then on."""
+    """Time at which the driver took over, from which on it waits for evidence."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadEndpoint:
-    """Order an endpoint to load a version in place of what it serves."""
+    """Order an endpoint to load a version in place of the one that it serves."""
 
     endpoint: str
     target: str
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdatePlan:
-    """Change the plan, and with it the versions."""
+    """Change the plan and its versions."""
 
     plan: Rollout
     versions: tuple[Version, ...] = ()
@@ -150,7 +150,7 @@
 
 
 def next_step(plan: Rollout, view: RolloutView) -> Step | None:
-    """Return the next step of a roll-out, or None while there is nothing to do but wait."""
+    """Return the next step of a roll-out, or None if there is nothing to do now."""
     new = view.versions.get(plan.version)
     old = view.versions.get(plan.previous)
     if new is None or old is None:
@@ -164,7 +164,7 @@
         case RolloutState.PLANNED:
             return _enter_stage(plan, view, 0, new, old)
         case RolloutState.RUNNING:
-            return _run(plan, view, new, old)
+            return _advance(plan, view, new, old)
         case RolloutState.ROLLED_BACK:
             return _restore(plan, view)
         case _:
@@ -172,34 +172,40 @@
 
 
 def _serving(view: RolloutView, target: str) -> list[EndpointView]:
-    return [row for row in view.endpoints if target in row.targets and not row.is_loading]
+    return [
+        endpoint
+        for endpoint in view.endpoints
+        if target in endpoint.targets and not endpoint.is_loading
+    ]
 
 
 def _wanted_endpoints(plan: Rollout, view: RolloutView, share: float) -> int:
-    """Return how many endpoints the new version needs for a share; one stays for the old."""
+    """Return how many endpoints a share of the new version needs; one stays for the old."""
     total = sum(
-        plan.version in row.targets or plan.previous in row.targets or row.is_loading
-        for row in view.endpoints
+        plan.version in endpoint.targets or plan.previous in endpoint.targets or endpoint.is_loading
+        for endpoint in view.endpoints
     )
     return max(1, min(ceil(share * total), total - 1))
 
 
 def _load_one(plan: Rollout, view: RolloutView, target: str, source: str) -> Step | None:
-    """Order one more endpoint to load, from the availability zone that has most of the source."""
-    if sum(row.is_loading for row in view.endpoints) >= MAX_CONCURRENT_LOADS:
+    """Order another endpoint to load, in the zone with the most endpoints that serve the source."""
+    if sum(endpoint.is_loading for endpoint in view.endpoints) >= MAX_CONCURRENT_LOADS:
         return None
     candidates = _serving(view, source)
     if len(candidates) <= 1:
         return None
-    zones = Counter(row.zone for row in candidates)
-    chosen = min(candidates, key=lambda row: (-zones[row.zone], row.load, row.name))
+    zones = Counter(endpoint.zone for endpoint in candidates)
+    chosen = min(
+        candidates, key=lambda endpoint: (-zones[endpoint.zone], endpoint.load, endpoint.name)
+    )
     return LoadEndpoint(chosen.name, target)
 
 
 def _enter_stage(
     plan: Rollout, view: RolloutView, stage: int, new: Version, old: Version
 ) -> Step | None:
-    """Bring up the endpoints that a stage needs, then move the traffic."""
+    """Load the version on as many endpoints as a stage needs, then move the traffic."""
     share = plan.stages[stage]
     if len(_serving(view, plan.version)) < _wanted_endpoints(plan, view, share):
         return _load_one(plan, view, plan.version, plan.previous)
@@ -213,7 +219,7 @@
     return UpdatePlan(next_plan, versions)
 
 
-def _run(plan: Rollout, view: RolloutView, new: Version, old: Version) -> Step | None:
+def _advance(plan: Rollout, view: RolloutView, new: Version, old: Version) -> Step | None:
     elapsed_s = view.now_s - plan.stage_since_s
     if elapsed_s < plan.stage_s:
         return None
@@ -243,24 +249,24 @@
 
 
 def is_restorable(ver: Version) -> bool:
-    """Whether a roll-out may give traffic back to a version; never to one that was withdrawn."""
+    """Whether a roll-back may return traffic to a version; withdrawn versions get none."""
     return ver.state in (VersionState.ACTIVE, VersionState.RETIRED)
 
 
 def restored_version(ver: Version) -> Version:
-    """Return a version as it is once a roll-out has been taken back."""
+    """Return a version as it is after a roll-back."""
     return replace(ver, state=VersionState.ACTIVE, share=1.0)
 
 
 def _restore(plan: Rollout, view: RolloutView) -> Step | None:
-    """Give the endpoints back to the previous version."""
+    """Return the endpoints to the previous version."""
     if not _serving(view, plan.version):
         return None
     return _load_back(plan, view)
 
 
 def _load_back(plan: Rollout, view: RolloutView) -> Step | None:
-    if sum(row.is_loading for row in view.endpoints) >= MAX_CONCURRENT_LOADS:
+    if sum(endpoint.is_loading for endpoint in view.endpoints) >= MAX_CONCURRENT_LOADS:
         return None
-    chosen = min(_serving(view, plan.version), key=lambda row: (row.load, row.name))
+    chosen = min(_serving(view, plan.version), key=lambda endpoint: (endpoint.load, endpoint.name))
     return LoadEndpoint(chosen.name, plan.previous)
--- a/umberhitch/core/selection.py
+++ b/umberhitch/core/selection.py
@@ -1,6 +1,6 @@
-"""Choice of version and endpoint for a request.
+"""Selection of the version and the endpoint for a request.
 
-Pure functions over typed state; randomness comes from the caller's generator.
+The functions are pure; randomness comes from the caller's generator.
 """
 
 from collections.abc import Callable, Container, Sequence
@@ -23,14 +23,14 @@
 ]
 
 ANY_MODEL = "auto"
-"""The model name by which a caller leaves the choice to the router."""
+"""Model name with which a caller lets the router select the model."""
 
 SPILLOVER_LOAD = 0.9
-"""Load above which an endpoint of another availability zone is considered."""
+"""Load from which endpoints of other availability zones are considered."""
 
 
 class SelectableEndpoint(Protocol):
-    """What the choice needs to know of an endpoint."""
+    """Endpoint properties used by the selection."""
 
     @property
     def name(self) -> str: ...
@@ -39,7 +39,7 @@
     def zone(self) -> str: ...
 
     def load(self, is_urgent: bool) -> float:
-        """Work in progress and waiting that a new attempt would wait for, by slot."""
+        """Return the running and queued work ahead of a new attempt, divided by the slots."""
         ...
 
 
@@ -48,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FixedLoadEndpoint:
-    """A plain `SelectableEndpoint`."""
+    """A `SelectableEndpoint` with a fixed load."""
 
     name: str
     zone: str
     value: float
 
     def load(self, is_urgent: bool) -> float:
-        """Return the value."""
+        """Return the fixed load."""
         return self.value
 
 
 def permitted_versions(
     config: Config, customer: str, spec: str, session: Session | None
 ) -> list[Version] | NotRun:
-    """Return the versions that may take a request for ``spec``.
+    """Return the versions that may serve a request for ``spec``.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
     spec : str
         `ANY_MODEL`, a model, or ``model@version``.
     session : Session or None
-        A session admits only its own version.
+        Verified session of the request; it allows only the version to which it is pinned.
     """
     if session is not None:
         return _pinned_version(config, customer, spec, session)
@@ -108,12 +108,12 @@
 
 
 def expected_quality(ver: Version, klass: str) -> float:
-    """Return the quality that the configuration expects of a version for a class."""
+    """Return the configured quality of a version for a request class."""
     return ver.quality.get(klass, ver.quality.get("*", 1.0))
 
 
 def expected_cost(ver: Version) -> float:
-    """Return a price by which versions are compared, for equal parts of input and output."""
+    """Return the price used to compare versions: that of one input and one output token."""
     return ver.input_micros_per_token + ver.output_micros_per_token
 
 
@@ -123,10 +123,10 @@
     has_endpoint: Callable[[str], bool],
     rng: Random,
 ) -> Version | None:
-    """Return the version for a request: cheapest model that meets the class's quality target.
+    """Return a version of the cheapest model that meets the class's quality target.
 
-    Within that model, versions are drawn by their shares, so that a roll-out moves traffic in
-    proportion. If no model meets the target, the best one is taken.
+    Among the versions of that model, one is drawn in proportion to the traffic shares, so that a
+    roll-out receives its share. If no model meets the target, the one of highest quality is used.
     """
     live = [ver for ver in versions if has_endpoint(ver.key)]
     if not live:
@@ -147,7 +147,7 @@
     excluded: Container[str] = (),
     is_urgent: bool = False,
 ) -> T | None:
-    """Return the less loaded of two random endpoints, from the own availability zone if possible.
+    """Return the less loaded of two random endpoints, preferring the router's own zone.
 
     Two random choices keep stale load reports from sending every router to the same endpoint
     (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
@@ -155,14 +155,14 @@
     Parameters
     ----------
     pool : sequence of SelectableEndpoint
-        Every endpoint that may be chosen.
+        All endpoints that may be chosen.
     same_zone : sequence of SelectableEndpoint
-        Those of the own availability zone.
+        Endpoints of ``pool`` in the router's availability zone.
     rng : Random
     excluded : container of str
-        Names of endpoints that were tried already.
+        Names of endpoints that were already tried.
     is_urgent : bool
-        Whether the work overtakes what is not urgent in an agent's queue.
+        Whether the request goes ahead of non-urgent work in an agent's queue.
     """
     best = _less_loaded_of_two(same_zone, rng, excluded, is_urgent)
     if best is not None and best.load(is_urgent) < SPILLOVER_LOAD:
--- a/umberhitch/core/session.py
+++ b/umberhitch/core/session.py
@@ -1,7 +1,7 @@
-"""Session tokens: signed statements that pin a customer's session to one version.
+"""Session tokens, which pin a customer's session to one version.
 
-A token is a JSON Web Token (RFC 7519) signed with HMAC-SHA256 under a key of the configuration, so
-that every router and agent can read it and none has to keep it.
+A token is a JSON Web Token (RFC 7519) signed with HMAC-SHA256 and a key of the configuration. Every
+router and agent can verify it, and none has to store it.
 """
 
 from dataclasses import dataclass
@@ -18,22 +18,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """A session that is pinned to a version until it expires."""
+    """A session, pinned to one version until it expires."""
 
     session_id: str
     customer: str
     target: str
     expires_s: float
-    """Seconds since the epoch."""
+    """Time of expiry in seconds since the epoch."""
 
 
 def sign_session_token(session: Session, config: Config) -> str:
-    """Return a token for the session.
+    """Return a signed token for the session.
 
     Raises
     ------
     SessionError
-        If the configuration holds no key that signs.
+        If the configuration has no signing key.
     """
     keys = [key for key in config.keys.values() if key.signs]
     if not keys:
@@ -49,7 +49,7 @@
 
 
 def read_session_token(token: str, config: Config, now_s: float) -> Session:
-    """Return the session that a token states.
+    """Return the session of a token.
 
     Raises
     ------
--- a/umberhitch/core/subsets.py
+++ b/umberhitch/core/subsets.py
@@ -1,9 +1,9 @@
-"""Which routers serve which agents, so that nothing is a full mesh.
+"""Subsetting: assignment of routers to agents that avoids a full mesh.
 
-Agents fall into buckets by hash, and each bucket picks its routers by rendezvous hash (Thaler and
-Ravishankar, 1998): some of its own availability zone, and a few of others for spill-over and for
-the loss of a zone. Every router works this out alone from the host list. When a router comes or
-goes, only its own buckets move.
+Agents are hashed into buckets, and routers are assigned to each bucket by rendezvous hashing
+(Thaler and Ravishankar, 1998): several from the agents' own availability zone, and a few from other
+zones for spill-over and for the loss of a zone. Every router computes the assignment on its own
+from the host list. When a router joins or leaves, only its own buckets are reassigned.
 """
 
 from collections.abc import Iterable
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SubsetLimits:
-    """How many routers serve an agent.
+    """Number of routers that serve an agent.
 
     Attributes
     ----------
-    near : int
-        Of the agent's own availability zone.
-    far : int
-        Of other zones.
-    feeders : int
-        Of these, how many send it each change of configuration unasked.
+    same_zone : int
+        Number of routers from the agent's own availability zone.
+    other_zones : int
+        Number of routers from other zones.
+    config_publishers : int
+        Number of these routers that push each change of the configuration to the agent.
     """
 
     same_zone: int = 6
@@ -38,12 +38,12 @@
 
 
 class AgentSubset:
-    """Works out one router's agents.
+    """The subset of agents that one router serves.
 
     Parameters
     ----------
     router : str
-        The own name.
+        Name of this router.
     limits : SubsetLimits
     """
 
@@ -51,30 +51,32 @@
         self._router = router
         self._limits = limits or SubsetLimits()
         self._zones: dict[str, str] = {}
-        self._own: dict[str, frozenset[int]] = {}
+        self._buckets: dict[str, frozenset[int]] = {}
 
     def set_routers(self, zones: dict[str, str]) -> None:
-        """Learn of the live routers, with the zone of each, the own one included."""
+        """Set the zones of all live routers, including this one, by name."""
         if zones != self._zones:
             self._zones = dict(zones)
-            self._own = {}
+            self._buckets = {}
 
     def serves(self, agent: Host) -> bool:
         """Whether this router serves an agent."""
         limits = self._limits
         if len(self._zones) <= limits.same_zone + limits.other_zones:
             return True
-        own = self._own.get(agent.zone)
+        own = self._buckets.get(agent.zone)
         if own is None:
-            own = self._own[agent.zone] = self._own_buckets(agent.zone)
+            own = self._buckets[agent.zone] = self._own_buckets(agent.zone)
         return bucket_of(agent.name) in own
 
     def publishes_to(self, agent: Host) -> bool:
-        """Whether this router sends an agent each change of configuration unasked."""
+        """Whether this router pushes each change of the configuration to an agent."""
         if len(self._zones) <= self._limits.config_publishers:
             return True
-        near = [name for name, zone in self._zones.items() if zone == agent.zone]
-        candidates = near if len(near) >= self._limits.config_publishers else list(self._zones)
+        same_zone = [name for name, zone in self._zones.items() if zone == agent.zone]
+        candidates = (
+            same_zone if len(same_zone) >= self._limits.config_publishers else list(self._zones)
+        )
         if self._router not in candidates:
             return False
         return self._ranks(
@@ -82,30 +84,28 @@
         )
 
     def _own_buckets(self, zone: str) -> frozenset[int]:
-        """Return the buckets of a zone's agents that this router serves."""
-        near = [name for name, where in self._zones.items() if where == zone]
-        far = [name for name, where in self._zones.items() if where != zone]
+        """Return the buckets of agents in a zone that this router serves."""
+        same_zone = [name for name, where in self._zones.items() if where == zone]
+        other_zones = [name for name, where in self._zones.items() if where != zone]
         limits = self._limits
-        if len(near) < limits.same_zone:
-            candidates, places = list(self._zones), limits.same_zone + limits.other_zones
+        if len(same_zone) < limits.same_zone:
+            candidates, count = list(self._zones), limits.same_zone + limits.other_zones
         elif self._zones.get(self._router) == zone:
-            candidates, places = near, limits.same_zone
+            candidates, count = same_zone, limits.same_zone
         else:
-            candidates, places = far, limits.other_zones
+            candidates, count = other_zones, limits.other_zones
         return frozenset(
-            bucket
-            for bucket in range(BUCKET_COUNT)
-            if self._ranks(zone, bucket, candidates, places)
+            bucket for bucket in range(BUCKET_COUNT) if self._ranks(zone, bucket, candidates, count)
         )
 
-    def _ranks(self, zone: str, bucket: int, routers: Iterable[str], places: int) -> bool:
-        """Whether the own weight for a bucket is among the highest."""
+    def _ranks(self, zone: str, bucket: int, routers: Iterable[str], count: int) -> bool:
+        """Whether this router's weight for a bucket is among the highest."""
         own = rendezvous_weight(zone, bucket, self._router)
         higher = 0
         for name in routers:
             if name != self._router and rendezvous_weight(zone, bucket, name) > own:
                 higher += 1
-                if higher >= places:
+                if higher >= count:
                     return False
         return True
 
--- a/umberhitch/core/tests/test_leases.py
+++ b/umberhitch/core/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""The fold of the leases stream."""
+"""Fold of the leases stream, and fencing."""
 
 from umberhitch.core.fencing import Fence
 from umberhitch.core.leases import (
@@ -19,14 +19,14 @@
     return Acquire("x", holder, 1, previous, 15.0)
 
 
-def test_the_first_in_log_order_wins() -> None:
+def test_the_first_acquisition_in_log_order_wins() -> None:
     fold = LeaseFold()
     apply(fold, 3, acquire("a"))
     apply(fold, 4, acquire("b"))
     assert (fold.leases["x"].holder, fold.leases["x"].token) == ("a", 3)
 
 
-def test_one_of_two_challengers_wins_and_a_repeated_append_changes_nothing() -> None:
+def test_one_of_two_competing_routers_wins_and_a_duplicate_append_has_no_effect() -> None:
     fold = LeaseFold()
     apply(fold, 0, acquire("a"))
     apply(fold, 5, acquire("b", previous=0))
@@ -35,7 +35,7 @@
     assert (fold.leases["x"].holder, fold.leases["x"].token) == ("b", 5)
 
 
-def test_a_renewal_by_a_holder_that_was_replaced_is_void() -> None:
+def test_a_renewal_by_a_replaced_holder_has_no_effect() -> None:
     fold = LeaseFold()
     apply(fold, 0, acquire("a"))
     apply(fold, 1, acquire("b", previous=0))
@@ -45,17 +45,17 @@
     assert not fold.leases["x"].is_yielded
 
 
-def test_a_reader_without_the_acquisition_learns_the_lease_from_a_renewal() -> None:
-    """Else it would take a lease that every other router knows to be held."""
-    whole, late = LeaseFold(), LeaseFold()
-    apply(whole, 0, acquire("a"))
-    for fold in (whole, late):
+def test_a_reader_without_the_acquisition_restores_the_lease_from_a_renewal() -> None:
+    """Otherwise the reader would acquire a lease that all other routers know to be held."""
+    full, late = LeaseFold(), LeaseFold()
+    apply(full, 0, acquire("a"))
+    for fold in (full, late):
         apply(fold, 9, Renew("x", 0, "a", 1, 15.0))
         apply(fold, 10, acquire("b"))
-    assert late.leases["x"].holder == whole.leases["x"].holder == "a"
+    assert late.leases["x"].holder == full.leases["x"].holder == "a"
 
 
-def test_a_fence_admits_no_older_token_and_nothing_before_it_opens() -> None:
+def test_a_fence_admits_no_older_token_and_no_order_before_it_opens() -> None:
     fence = Fence(opens_s=3.0)
     assert not fence.admits(7, now_s=2.9)
     assert fence.admits(7, now_s=3.0)
--- a/umberhitch/core/tests/test_queue.py
+++ b/umberhitch/core/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""The agent's queue."""
+"""Ordering and fairness of the agent's queue."""
 
 from collections import Counter
 
@@ -7,8 +7,8 @@
 from umberhitch.testing import make_start
 
 
-class Filler:
-    """Pushes attempts with growing numbers."""
+class QueueFiller:
+    """Pushes attempts with increasing sequence numbers."""
 
     def __init__(self) -> None:
         self.queue = WorkQueue()
@@ -25,30 +25,30 @@
         return [self.queue.pop().start.customer for _ in range(count)]
 
 
-def test_urgent_work_goes_first_and_equals_in_order() -> None:
-    filler = Filler()
+def test_urgent_work_is_served_first_and_equal_priorities_in_order() -> None:
+    filler = QueueFiller()
     late, first, second = filler.push("a", 7), filler.push("a", 1), filler.push("a", 1)
     assert [filler.queue.pop() for _ in range(3)] == [first, second, late]
 
 
-def test_a_backlog_does_not_hold_up_another_customer() -> None:
-    filler = Filler()
+def test_a_backlog_does_not_delay_another_customer() -> None:
+    filler = QueueFiller()
     for _ in range(50):
         filler.push("large")
     filler.push("small")
     assert "small" in filler.pop_customers(2)
 
 
-def test_shares_divide_what_there_is() -> None:
-    filler = Filler()
+def test_customers_are_served_in_proportion_to_their_shares() -> None:
+    filler = QueueFiller()
     for _ in range(90):
         filler.push("double", share=2.0)
         filler.push("single", share=1.0)
     assert Counter(filler.pop_customers(90)) == {"double": 60, "single": 30}
 
 
-def test_who_was_idle_gets_no_credit_for_it() -> None:
-    filler = Filler()
+def test_idle_customers_accumulate_no_credit() -> None:
+    filler = QueueFiller()
     for _ in range(20):
         filler.push("busy")
     filler.pop_customers(10)
@@ -58,7 +58,7 @@
 
 
 def test_the_last_is_the_least_urgent_of_the_largest_backlog() -> None:
-    filler = Filler()
+    filler = QueueFiller()
     filler.push("small", 7)
     for _ in range(3):
         newest = filler.push("large", 7)
@@ -68,9 +68,9 @@
     assert last[1] is newest
 
 
-def test_what_was_removed_is_not_popped() -> None:
-    filler = Filler()
-    gone, stays = filler.push("a"), filler.push("a")
-    filler.queue.remove(gone)
+def test_removed_attempts_are_not_popped() -> None:
+    filler = QueueFiller()
+    removed, remaining = filler.push("a"), filler.push("a")
+    filler.queue.remove(removed)
     assert len(filler.queue) == 1
-    assert filler.queue.pop() is stays
+    assert filler.queue.pop() is remaining
--- a/umberhitch/core/tests/test_subsets.py
+++ b/umberhitch/core/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: coverage, balance and moves."""
+"""Subsets of agents: coverage, balance and reassignment."""
 
 from collections import Counter
 
@@ -35,8 +35,8 @@
     by_router = Counter(router for _, router in pairs)
     assert max(by_router.values()) < 2 * min(by_router.values())
     zone_of = {agent.name: agent.zone for agent in agents}
-    near = sum(zone_of[agent] == routers[router] for agent, router in pairs)
-    assert near == 6 * len(agents)
+    same_zone = sum(zone_of[agent] == routers[router] for agent, router in pairs)
+    assert same_zone == 6 * len(agents)
 
 
 def test_a_replaced_router_moves_only_its_own_pairs() -> None:
@@ -51,9 +51,9 @@
     assert moved < 0.05 * len(before)
 
 
-def test_each_agent_is_fed_by_two_routers_of_its_zone() -> None:
+def test_two_routers_of_its_zone_publish_to_each_agent() -> None:
     routers = {f"r{i}": ZONES[i % 4] for i in range(48)}
-    feeders: Counter[str] = Counter()
+    publishers: Counter[str] = Counter()
     for name, zone in routers.items():
         subsets = AgentSubset(name)
         subsets.set_routers(routers)
@@ -61,5 +61,5 @@
             if subsets.publishes_to(agent):
                 assert subsets.serves(agent)
                 assert zone == agent.zone
-                feeders[agent.name] += 1
-    assert set(feeders.values()) == {2}
+                publishers[agent.name] += 1
+    assert set(publishers.values()) == {2}
--- a/umberhitch/platform/tests/test_large_documents_causes.py
+++ b/umberhitch/platform/tests/test_large_documents_causes.py
@@ -30,16 +30,16 @@
         return None
 
     def as_if_all_alike(
-        self: ReadSharing, shunned: set[str], among_others: bool = False
+        self: ReadSharing, excluded: set[str], excludes_self: bool = False
     ) -> str | None:
         link_mbps, self.link_mbps = self.link_mbps, lambda name: 0.0
-        found = reader(self, shunned, among_others)
+        found = reader(self, excluded, excludes_self)
         self.link_mbps = link_mbps
         return found
 
-    patch.setattr(ReadSharing, "reader", as_if_all_alike)
-    patch.setattr(shared_view, "EARLY_S", 100.0)
-    patch.setattr(SharedView, "_ask_next", ask_no_other)
+    patch.setattr(ReadSharing, "choose_reader", as_if_all_alike)
+    patch.setattr(shared_view, "EARLY_NOTICE_S", 100.0)
+    patch.setattr(SharedView, "_request_from_next", ask_no_other)
 
 
 def serve_on(patch: pytest.MonkeyPatch) -> None:
@@ -47,7 +47,7 @@
 
 
 def tell_no_changes(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(OperatorChangeEncoder, "tell", lambda self, key, known, value, most_bytes: None)
+    patch.setattr(OperatorChangeEncoder, "encode", lambda self, key, known, value, max_bytes: None)
 
 
 Cause = Callable[[pytest.MonkeyPatch], None]
--- a/umberhitch/scenarios/tests/test_mutations.py
+++ b/umberhitch/scenarios/tests/test_mutations.py
@@ -36,7 +36,7 @@
 
 
 def _forget_direct_stops(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(DirectWithdrawals, "holds", lambda *args: False)
+    patch.setattr(DirectWithdrawals, "is_withdrawn", lambda *args: False)
 
 
 def _ignore_sessions(patch: pytest.MonkeyPatch) -> None:
@@ -76,7 +76,7 @@
         return text
 
     patch.setattr(AnswerAssembler, "add", add)
-    patch.setattr(AnswerAssembler, "is_whole", property(lambda self: self.end is not None))
+    patch.setattr(AnswerAssembler, "is_complete", property(lambda self: self.end is not None))
     patch.setattr(AnswerAssembler, "finish", lambda self, length: setattr(self, "end", length))
 
 
@@ -150,7 +150,7 @@
 
 
 def _never_alarm(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(VersionJudge, "take", lambda self, evidence: None)
+    patch.setattr(VersionJudge, "observe", lambda self, evidence: None)
 
 
 def _need_no_evidence(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/change_encoding.py
+++ b/umberhitch/tasks/direct/change_encoding.py
@@ -1,4 +1,4 @@
-"""What a router that reads the store tells the others of a stream, and what they make of it."""
+"""Encodes the changes of a stream for peers, and decodes them."""
 
 from collections.abc import Mapping
 from itertools import starmap
@@ -24,35 +24,35 @@
 
 
 class ChangeEncoder(Protocol[Value]):
-    """How the changes of one stream are told.
+    """Encodes the changes of one stream.
 
     Attributes
     ----------
-    tells_all : bool
-        Whether a view with a later end and no change says that there was none; else such a view
-        says that the store is to be read.
-    kept_changes : int
-        Changes kept to be told.
+    encodes_every_change : bool
+        Whether every change can be encoded, so that a reply with a later end and no changes means
+        that there was none. Otherwise such a reply means that the store must be read.
+    max_changes : int
+        Number of changes that are kept.
     """
 
     encodes_every_change: bool
     max_changes: int
 
     def encode(self, key: str, known: Value | None, value: Value | None, max_bytes: float) -> Any:
-        """Return what is told of a record, or None if it is too large to be told."""
+        """Return the encoded change of a record, or None if it is too large."""
         ...
 
     def add_to_reply(self, reply: ViewReply, encoded: list[tuple[str, Any]]) -> ViewReply:
-        """Return a reply that tells changes."""
+        """Return a reply with the encoded changes."""
         ...
 
     def decode(self, reply: ViewReply, known: Mapping[str, Value]) -> Records[Value] | None:
-        """Return the records that a reply tells, or None if it tells of them only."""
+        """Return the records in a reply, or None if it only says that there are some."""
         ...
 
 
 class EndpointEntryEncoder:
-    """Tells the entries of endpoints as they are."""
+    """Sends the entries of endpoints unchanged."""
 
     encodes_every_change = True
     max_changes = 5000
@@ -60,26 +60,26 @@
     def encode(
         self, key: str, known: EndpointEntry | None, value: EndpointEntry | None, max_bytes: float
     ) -> tuple[EndpointEntry | None]:
-        """Return the entry; None where it is gone."""
+        """Return the entry in a tuple; None stands for an entry that was removed."""
         return (value,)
 
     def add_to_reply(self, reply: ViewReply, encoded: list[tuple[str, Any]]) -> ViewReply:
-        """Return a reply that tells entries."""
+        """Return a reply with the entries."""
         records = [(key, entry) for key, (entry,) in encoded]
         return replace(reply, records=records)
 
     def decode(
         self, reply: ViewReply, known: Mapping[str, EndpointEntry]
     ) -> Records[EndpointEntry] | None:
-        """Return the entries that a reply tells."""
+        """Return the entries in a reply."""
         return tuple(starmap(FeedRecord, reply.records))
 
 
 class OperatorChangeEncoder:
-    """Tells of what operators wrote: of a configuration only what has changed.
+    """Encodes the records of operators; of a configuration only the differences.
 
-    It costs 0.3 kB for one route of 4,250, of which the whole has 0.8 MB: that is what a link of
-    5 Mbit/s carries in 1.3 s, in which its callers wait. 1,400 routes more are 27 kB.
+    The change of one route takes 0.3 kB, where a configuration of 4,250 routes has 0.8 MB, which a
+    link of 5 Mbit/s carries in 1.3 s while callers wait. Adding 1,400 routes takes 27 kB.
     """
 
     encodes_every_change = False
@@ -88,17 +88,17 @@
     def encode(
         self, key: str, known: OperatorValue | None, value: OperatorValue | None, max_bytes: float
     ) -> bytes | None:
-        """Return the change, packed, or None if it is too large."""
-        told: Any = value
+        """Return the packed change, or None if it is too large."""
+        change: Any = value
         if isinstance(value, Document):
             if not isinstance(known, Document):
                 return None
-            told = diff_documents(known, value)
-        packed = pack_value(told)
+            change = diff_documents(known, value)
+        packed = pack_value(change)
         return packed if len(packed) <= max_bytes else None
 
     def add_to_reply(self, reply: ViewReply, encoded: list[tuple[str, Any]]) -> ViewReply:
-        """Return a reply that tells changes, all or none."""
+        """Return a reply with all changes, or without any if one is too large."""
         if any(packed is None for _, packed in encoded):
             return reply
         return replace(reply, packed=encoded)
@@ -106,18 +106,18 @@
     def decode(
         self, reply: ViewReply, known: Mapping[str, OperatorValue]
     ) -> Records[OperatorValue] | None:
-        """Return the values that a reply's changes make, the last of each key."""
+        """Return the last value of each key after the changes in a reply."""
         values: dict[str, OperatorValue | None] = {}
         for key, packed in reply.packed:
             try:
-                told = unpack_value(packed)
+                change = unpack_value(packed)
             except FrameError:
                 return None
-            if not isinstance(told, DocumentChange):
-                values[key] = told
+            if not isinstance(change, DocumentChange):
+                values[key] = change
                 continue
             base = values.get(key, known.get(key))
-            made = apply_change(base, told) if isinstance(base, Document) else None
+            made = apply_change(base, change) if isinstance(base, Document) else None
             if made is None:
                 return None
             values[key] = made
--- a/umberhitch/tasks/direct/change_log.py
+++ b/umberhitch/tasks/direct/change_log.py
@@ -1,4 +1,4 @@
-"""What a router has taken of a stream, and what has changed since an offset, to be told."""
+"""The newest values of a stream and its changes since an offset, for requests of peers."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -18,10 +18,10 @@
 @dataclass(slots=True)
 class _Change:
     end: int
-    """Offset after the batch that brought it."""
+    """Offset after the batch with the change."""
     key: str
     encoded: Any
-    """What is told of it, None if it is too large."""
+    """The encoded change, None if it is too large."""
     was_away: bool
 
 
@@ -30,13 +30,14 @@
 
     Parameters
     ----------
-    teller : ChangeEncoder
+    encoder : ChangeEncoder
 
     Attributes
     ----------
     newest : dict of str to Value
-    floor : int
-        Changes after this offset are known; -1 before anything is.
+        The newest value of each key.
+    start_offset : int
+        Changes after this offset are kept; -1 before the first batch.
     """
 
     def __init__(self, encoder: ChangeEncoder[Value]) -> None:
@@ -46,7 +47,7 @@
         self._changes: deque[_Change] = deque()
 
     def reset(self, batch: FeedBatch[Value]) -> None:
-        """Begin anew from a batch with the newest of every key, where changes cannot go on."""
+        """Reset to a snapshot unless the changes can continue from it."""
         if self._encoder.encodes_every_change or self.start_offset < 0:
             self._clear_changes(batch.end)
             self.newest.clear()
@@ -59,24 +60,25 @@
         is_serving: bool,
         max_bytes: float,
     ) -> None:
-        """Remember the records of a batch that change anything; heartbeats do not.
+        """Record the records of a batch that change a value; heartbeats do not.
 
         Parameters
         ----------
         batch : FeedBatch
         is_snapshot : bool
-            Whether it has the newest of every key: what is not in it is gone.
+            Whether the batch has the newest record of every key; other keys were removed.
         was_away : bool
-            Whether the store had been away.
+            Whether the store was unavailable.
         is_serving : bool
-            Whether any router asks: changes that cost work to be told are kept only then.
+            Whether this router serves peers: changes that are expensive to encode are kept only
+            then.
         max_bytes : float
-            What is larger is not told.
+            Maximum size of an encoded change.
         """
         records = batch.records
         if is_snapshot:
-            gone = self.newest.keys() - {record.key for record in records}
-            records += tuple(FeedRecord(key, None) for key in gone)
+            removed = self.newest.keys() - {record.key for record in records}
+            records += tuple(FeedRecord(key, None) for key in removed)
         is_kept = self.start_offset < batch.end and (
             self._encoder.encodes_every_change or is_serving
         )
@@ -85,8 +87,8 @@
             if known == record.value:
                 continue
             if is_kept:
-                told = self._encoder.encode(record.key, known, record.value, max_bytes)
-                self._changes.append(_Change(batch.end, record.key, told, was_away))
+                encoded = self._encoder.encode(record.key, known, record.value, max_bytes)
+                self._changes.append(_Change(batch.end, record.key, encoded, was_away))
             self._update_value(record)
         if not is_kept:
             self._clear_changes(batch.end)
@@ -104,17 +106,17 @@
         self.start_offset = end
 
     def covers(self, offset: int) -> bool:
-        """Whether all that has changed since an offset is known."""
+        """Whether all changes since an offset are known."""
         return 0 <= self.start_offset <= offset
 
     def has_changed_since(self, offset: int) -> bool:
-        """Whether anything has, since an offset that is covered."""
+        """Whether there are changes since a covered offset."""
         return bool(self._changes) and self._changes[-1].end > offset
 
     def add_changes_to_reply(self, reply: ViewReply, offset: int) -> ViewReply:
-        """Return a reply that tells what has changed since an offset that is covered."""
-        news = [each for each in self._changes if each.end > offset]
-        if not news:
+        """Return a reply with the changes since a covered offset."""
+        changes = [each for each in self._changes if each.end > offset]
+        if not changes:
             return reply
-        reply = self._encoder.add_to_reply(reply, [(each.key, each.encoded) for each in news])
-        return replace(reply, is_after_outage=any(each.was_away for each in news))
+        reply = self._encoder.add_to_reply(reply, [(each.key, each.encoded) for each in changes])
+        return replace(reply, is_after_outage=any(each.was_away for each in changes))
--- a/umberhitch/tasks/direct/feeds.py
+++ b/umberhitch/tasks/direct/feeds.py
@@ -1,8 +1,9 @@
 """Follows the keyed streams of the platform's store: configuration, roll-outs, endpoints.
 
-Each feed is a loop of one call at a time. Its proof of freshness is the time at which the last
-answered call was sent: what was not there then was acknowledged later. Where the call was held for
-the whole wait and there was nothing, it is the end of that wait (`tasks/direct/sharing`).
+Each feed is a loop with one call at a time. Its proof of freshness is the time at which the last
+answered call was sent: a record that was missing then was acknowledged later. If the store held the
+call for the whole wait and there was no record, the proof is the end of that wait; see
+`tasks/direct/read_sharing`.
 """
 
 from collections.abc import Callable
@@ -23,11 +24,13 @@
 Value = TypeVar("Value")
 
 FRESHNESS_MARGIN_S = 1.0
-"""A view that is so much older than a call may be held is not fresh: the process stood still."""
+"""A view that is older than the maximum hold time by more than this is not fresh: the process was
+frozen."""
 FROZEN_MARGIN_S = 0.3
-"""A call that took so much longer than it may was not late: the process stood still meanwhile."""
+"""A call that exceeds its time limit by more than this was not late: the process was frozen."""
 RESTART_S = 1.0
-"""Pause before a feed that ended by an error begins anew: the error does not fill the log."""
+"""Pause before a feed that failed with an exception restarts, so that the error does not flood the
+log."""
 
 
 class FeedTiming:
@@ -36,16 +39,16 @@
     Parameters
     ----------
     wait_s : float
-        How long the store holds a call while there is nothing new.
+        How long the store holds a call while there are no new records.
     pause_s : float
-        Pause between two calls; a stream in which something always comes is read no more often.
+        Pause between two calls; it also limits how often a stream with constant changes is read.
     retry_s : float
-        Pause after a call that failed.
-    patience_s : tuple of float
-        A call has failed whose answer begins so much later than the wait is over: the first after
-        an answer, and then by turns. Most are short, so that a store that is back is found soon;
-        one is long, so that a slow one is found at all. How long an answer takes to come whole is
-        not limited here: that goes by its size and by the link.
+        Pause after a failed call.
+    timeouts_s : tuple of float
+        Time allowed for the start of the answer after the wait: the first value after a successful
+        call, then the values in turn. Most are short, so that a store that has recovered is found
+        soon; one is long, so that a slow store is found at all. The time for the whole answer is
+        not limited here, as it depends on the size and on the link.
     """
 
     def __init__(
@@ -62,32 +65,32 @@
 
 
 class Feed(Generic[Value]):
-    """One keyed stream.
+    """Follows one keyed stream.
 
     Parameters
     ----------
     name : str
-        For logs.
+        Name in log lines.
     port : FeedPort
     clock : Clock
     rng : Random
-    pace : FeedTiming
-    on_all : callable
-        Takes the newest record of every key; what is not in it is gone.
-    on_records : callable
-        Takes further records, and whether the store has been away lately.
+    timing : FeedTiming
+    on_snapshot : callable
+        Called with the newest record of every key; keys that are not in it were removed.
+    on_changes : callable
+        Called with further records, and with whether the store was unavailable lately.
 
     Attributes
     ----------
     proved_s : float or None
-        What was acknowledged before then has been taken.
+        All records acknowledged before this time have been applied.
     offset : int
-        Offset up to which records have been taken.
+        Offset up to which records have been applied.
     behind_since_s : float or None
-        Since when it is known that there is something newer than what has been taken.
-    on_taken : callable
-        Called after each batch with it, whether it was that of all keys, and whether the store had
-        been away.
+        Time since which newer records are known to exist that have not been applied.
+    on_applied : callable
+        Called after each batch with the batch, whether it is a snapshot of all keys, and whether
+        the store was unavailable lately.
     """
 
     def __init__(
@@ -116,50 +119,53 @@
         self._recovered_s = float("-inf")
 
     LAPSE_GRACE_S = 3.0
-    """So long after the store came back, entries that lapsed meanwhile may still return."""
+    """Time after a recovery of the store in which entries that lapsed may still return."""
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the stream."""
         ensureDeferred(self._run()).addErrback(self._report)
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop following the stream."""
         self._is_stopped = True
 
     def mark_behind(self) -> None:
-        """Take note that there is something newer than what has been taken."""
+        """Record that there are newer records than those that have been applied."""
         if self.behind_since_s is None:
             self.behind_since_s = self._clock.seconds()
 
     def _report(self, failure: Any) -> None:
-        """Begin anew: a router whose feed has ended would serve by an old state for ever."""
-        log.error("feed ended", extra={"feed": self.name, "error": failure.getTraceback()})
+        """Log the failure and restart the feed.
+
+        Without the restart, the router would serve from an old state indefinitely.
+        """
+        log.error("feed failed", extra={"feed": self.name, "error": failure.getTraceback()})
         if not self._is_stopped:
             self._clock.callLater(RESTART_S, self.start)
 
     async def _run(self) -> None:
-        is_whole = False
+        is_loaded = False
         failures = 0
         while not self._is_stopped:
             called_s = self._clock.seconds()
-            patience_s = self._timing.timeouts_s[failures % len(self._timing.timeouts_s)]
+            timeout_s = self._timing.timeouts_s[failures % len(self._timing.timeouts_s)]
             try:
-                if is_whole:
-                    # With a fresh view let the store hold the call, else know at once what stands.
+                if is_loaded:
+                    # With a fresh view let the store hold the call, else get the state at once.
                     wait_s = self._timing.wait_s if self._is_fresh() else 0.0
-                    batch = await self._port.since(self.offset, wait_s, patience_s)
+                    batch = await self._port.since(self.offset, wait_s, timeout_s)
                 else:
-                    batch = await self._port.newest(patience_s)
+                    batch = await self._port.newest(timeout_s)
             except LogTrimmedError as exc:
                 log.info("history gone", extra={"feed": self.name, "first": exc.first_offset})
-                is_whole = False
+                is_loaded = False
                 continue
             except LogReplacedError:
-                is_whole = False
+                is_loaded = False
                 continue
             except LogError as exc:
-                is_broken_off = isinstance(exc, LogBrokenOffError)  # a long read, then
-                if not is_broken_off and self._was_frozen(called_s, patience_s):
+                is_broken_off = isinstance(exc, LogBrokenOffError)  # after a long read
+                if not is_broken_off and self._was_frozen(called_s, timeout_s):
                     continue
                 failures += 1
                 self._note_failure(exc)
@@ -167,8 +173,8 @@
                 continue
             failures = 0
             self._note_recovery()
-            self._apply(batch, is_whole, called_s)
-            is_whole = True
+            self._apply(batch, is_loaded, called_s)
+            is_loaded = True
             if self._is_fresh():
                 pause_s = (
                     self._timing.pause_s
@@ -177,11 +183,11 @@
                 )
                 await pause(self._clock, pause_s)
 
-    def _apply(self, batch: FeedBatch[Value], is_further: bool, called_s: float) -> None:
+    def _apply(self, batch: FeedBatch[Value], is_change: bool, called_s: float) -> None:
         if self._is_stopped:
             return
         was_away = batch.is_after_outage or self._has_recovered_lately()
-        if is_further:
+        if is_change:
             self._on_changes(batch, was_away)
         else:
             self._on_snapshot(batch)
@@ -189,11 +195,11 @@
         self.behind_since_s = None
         proved_s = called_s if batch.as_of_s is None else batch.as_of_s
         self.proved_s = proved_s if self.proved_s is None else max(self.proved_s, proved_s)
-        self.on_applied(batch, not is_further, was_away)
+        self.on_applied(batch, not is_change, was_away)
 
-    def _was_frozen(self, called_s: float, patience_s: float) -> bool:
-        longest_s = self._timing.wait_s + patience_s + FROZEN_MARGIN_S
-        return self._clock.seconds() - called_s > longest_s
+    def _was_frozen(self, called_s: float, timeout_s: float) -> bool:
+        max_duration_s = self._timing.wait_s + timeout_s + FROZEN_MARGIN_S
+        return self._clock.seconds() - called_s > max_duration_s
 
     def _is_fresh(self) -> bool:
         if self._failed_since_s is not None or self.proved_s is None:
@@ -221,5 +227,5 @@
             log.info("store regained", extra={"feed": self.name, "away_s": round(away_s, 3)})
 
 
-def _ignore_batch(batch: FeedBatch[Any], is_whole: bool, was_away: bool) -> None:
-    """Do nothing: no one follows."""
+def _ignore_batch(batch: FeedBatch[Any], is_snapshot: bool, was_away: bool) -> None:
+    """Do nothing, as no callback is set."""
--- a/umberhitch/tasks/direct/membership.py
+++ b/umberhitch/tasks/direct/membership.py
@@ -1,9 +1,9 @@
-"""Which routers there are: each keeps its seat in the store's group, and few read the list.
+"""The list of routers: each renews its membership in the store's group, and few read the list.
 
-To keep a seat costs the store a tenth of a call, to read the list a whole one, and each router that
-comes or goes changes the list for all. So one router of each reader's group reads it for the others
-(`tasks/direct/sharing`): 68 routers of which one came cost 3 calls instead of 68. A router that
-nobody can tell reads it itself.
+Renewing a membership costs the store a tenth of a call, reading the list a whole one, and each
+router that joins or leaves changes the list for all. So one router of each reader group reads the
+list for the others (`tasks/direct/read_sharing`): with 68 routers, a router that joins costs 3
+calls instead of 68. A router that gets no answer from a reader reads the list itself.
 """
 
 from collections.abc import Callable
@@ -24,25 +24,25 @@
 log = getLogger(__name__)
 
 MEMBERS_STREAM = "members"
-"""Name of the list among the streams that routers ask each other for."""
+"""Name of the list among the streams that routers request from each other."""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipLimits:
-    """Times in seconds.
+    """Limits of the membership; times in seconds.
 
     Attributes
     ----------
     ttl_s : float
-        How long the store keeps a router that does not say that it is alive. A lost one is asked in
-        vain meanwhile, once each `SharingLimits.shun_s`.
-    first_join_s : float
-        Pause after the first join; it doubles up to a third of ``ttl_s``. Routers that start
-        together find each other soon.
+        How long the store keeps a router that does not renew its membership. Meanwhile, requests to
+        a router that is lost time out, once each `ReadSharingLimits.exclusion_s`.
+    first_join_pause_s : float
+        Pause after the first join; it doubles up to a third of ``ttl_s``, so that routers that
+        start together find each other soon.
     hold_s : float
-        How long a reader may take to read the list from the store.
-    patience_s : float
-        An ask has failed that takes so much longer.
+        Time allowed for a reader to read the list from the store.
+    timeout_s : float
+        Time allowed for the reply in addition to the hold time.
     """
 
     ttl_s: float = 9.0
@@ -52,13 +52,13 @@
 
     @property
     def propagation_s(self) -> float:
-        """Time in which every router that keeps its seat hears of one that has come: its joins are
-        not further apart, and each is followed by a look at the list."""
+        """Time within which every router that renews its membership learns of a new one: it is no
+        longer than this between two joins, and each is followed by an update of the list."""
         return 1.2 * self.ttl_s / 3 + self.hold_s + self.timeout_s
 
 
 class Membership:
-    """Keeps this router's seat, and knows the others.
+    """Renews this router's membership and follows the list of members.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
     port : MembersPort
     sharing : ReadSharing
     on_members : callable
-        Takes the newest list.
+        Called with the newest list.
     limits : MembershipLimits
     """
 
@@ -91,32 +91,36 @@
         self._limits = limits or MembershipLimits()
         self._members: list[Member] = []
         self._generation = -1
-        """Generation of the group that the list is not older than."""
+        """Generation of the group that the list reflects at least."""
         self._waiting: list[tuple[str, ViewRequest]] = []
         self._is_reading = False
         self._is_stopped = False
         self._joined_s: float | None = None
-        """Since when this router has its seat."""
+        """Time since which this router has been a member without interruption."""
         self._lease_expires_s = float("-inf")
         sharing.handlers[MEMBERS_STREAM] = self
 
     def start(self) -> None:
-        """Join, and go on doing so."""
+        """Join the group and renew the membership regularly."""
         ensureDeferred(self._keep_joined()).addErrback(
-            lambda failure: log.error("membership ended", extra={"error": failure.getTraceback()})
+            lambda failure: log.error(
+                "membership renewal failed", extra={"error": failure.getTraceback()}
+            )
         )
 
     def stop(self) -> None:
-        """Leave."""
+        """Leave the group."""
         self._is_stopped = True
-        leaving = ensureDeferred(self._port.leave(self._me))
-        leaving.addErrback(lambda failure: log.info("not left", extra={"error": str(failure)}))
+        left = ensureDeferred(self._port.leave(self._me))
+        left.addErrback(
+            lambda failure: log.info("leaving the group failed", extra={"error": str(failure)})
+        )
 
     def is_known_to_peers(self) -> bool:
-        """Whether this router has its seat, and the others have had the time to hear of it.
+        """Whether this router is a member and the others had time to learn of it.
 
-        Else they may go by a list on which it is not, and share among themselves what it takes for
-        its own.
+        Otherwise the others may use a list without this router, and divide among themselves the
+        share of a limit that it takes for its own.
         """
         now_s = self._clock.seconds()
         if self._joined_s is None or now_s >= self._lease_expires_s:
@@ -124,14 +128,14 @@
         return now_s >= self._joined_s + self._limits.propagation_s
 
     def _note_lease(self, called_s: float) -> None:
-        """Take note that the store keeps the seat for so long after a call was sent."""
+        """Record the lease that a join grants, counted from the time of the call."""
         if self._joined_s is None or called_s >= self._lease_expires_s:
             self._joined_s = self._clock.seconds()
         self._lease_expires_s = called_s + self._limits.ttl_s
 
     async def _keep_joined(self) -> None:
-        longest_s = self._limits.ttl_s / 3
-        pause_s = min(self._limits.first_join_pause_s, longest_s)
+        max_pause_s = self._limits.ttl_s / 3
+        pause_s = min(self._limits.first_join_pause_s, max_pause_s)
         while not self._is_stopped:
             try:
                 called_s = self._clock.seconds()
@@ -140,14 +144,14 @@
                 if not self._is_stopped:
                     await self._update_list(generation)
             except LogError as exc:
-                log.info("not joined", extra={"error": str(exc)})
+                log.info("joining the group failed", extra={"error": str(exc)})
             await pause(self._clock, pause_s * (0.8 + 0.4 * self._rng.random()))
-            pause_s = min(2 * pause_s, longest_s)
+            pause_s = min(2 * pause_s, max_pause_s)
 
     async def _update_list(self, generation: int) -> None:
-        """Have a list that is not older than a generation."""
+        """Make sure that the list is not older than a generation."""
         if generation < self._generation:
-            self._generation = -1  # the store began the group anew
+            self._generation = -1  # the store has reset the group
         if generation <= self._generation:
             return
         reader = self._sharing.choose_reader(set())
@@ -156,7 +160,7 @@
         await self._read(generation)
 
     async def _request_list(self, reader: str, generation: int) -> bool:
-        """Ask a reader for the list; return whether it had one that is new enough."""
+        """Request the list from a reader; return whether it was new enough."""
         limits = self._limits
         reply = await self._sharing.request_changes(
             reader, MEMBERS_STREAM, generation, limits.hold_s, limits.timeout_s
@@ -178,10 +182,10 @@
         self._members = members
         self._on_members(members)
 
-    # For others
+    # Answers to peers
 
     def handle_request(self, sender: str, request: ViewRequest) -> None:
-        """Tell a peer the list, if need be after one call to the store for all that wait."""
+        """Send the list to a peer, after one read for all that wait if it is too old."""
         if request.offset <= self._generation:
             self._answer(sender, request)
             return
@@ -189,33 +193,33 @@
         if not self._is_reading:
             self._is_reading = True
             ensureDeferred(self._read_for_others()).addErrback(
-                lambda failure: log.info("list not read", extra={"error": str(failure)})
+                lambda failure: log.info("member list not read", extra={"error": str(failure)})
             )
 
     async def _read_for_others(self) -> None:
         try:
             while self._waiting:
                 waiting, self._waiting = self._waiting, []
-                newest = max(ask.offset for _, ask in waiting)
+                newest = max(request.offset for _, request in waiting)
                 if newest > self._generation:
                     await self._try_read(newest)
-                for sender, ask in waiting:
-                    self._answer(sender, ask)
+                for sender, request in waiting:
+                    self._answer(sender, request)
         finally:
             self._is_reading = False
 
     async def _try_read(self, generation: int) -> None:
-        """Read the list; those who wait are told at once if it cannot be had."""
+        """Read the list; on failure, the waiting peers are answered at once."""
         try:
             await self._read(generation)
         except LogError as exc:
-            log.info("list not read", extra={"error": str(exc)})
+            log.info("member list not read", extra={"error": str(exc)})
 
-    def _answer(self, sender: str, ask: ViewRequest) -> None:
-        reply = ViewReply(ask.request_id, ask.incarnation, False)
-        if ask.offset <= self._generation:
+    def _answer(self, sender: str, request: ViewRequest) -> None:
+        reply = ViewReply(request.request_id, request.incarnation, False)
+        if request.offset <= self._generation:
             members = [(each.name, each.address) for each in self._members]
             reply = ViewReply(
-                ask.request_id, ask.incarnation, True, self._generation, members=members
+                request.request_id, request.incarnation, True, self._generation, members=members
             )
         self._sharing.send(sender, reply)
--- a/umberhitch/tasks/direct/peers.py
+++ b/umberhitch/tasks/direct/peers.py
@@ -1,7 +1,7 @@
-"""Routers of the direct path find each other through the store, and talk over the link.
+"""Finds the other routers of the direct path through the store, and exchanges state with them.
 
-What they tell each other is cumulative, so that lost and repeated messages do no harm. Everything
-works, less well, without a peer.
+The state that routers send is cumulative, so that lost and repeated messages do no harm. Without
+peers everything works, though less accurately.
 """
 
 from collections.abc import Iterable
@@ -37,32 +37,34 @@
 log = getLogger(__name__)
 
 REMOTE_REPORT_EVERY = 4
-"""Of many peers, those in other availability zones get each fourth report only, but during a
-roll-out: calls mostly stay in their zone, and reports cross it."""
+"""With many peers, those in other availability zones get one report in this many, except during a
+roll-out: calls mostly stay within their zone, while reports to other zones cross its boundary."""
 RESEND_INTERVAL_S = 1.0
 RESEND_PEERS = 2
-"""Requests that are held are told again to so many peers that often. All routers do, so that each
-hears of them twice a second, whatever their number, at under 2 kB a second."""
+"""Number of peers to which the state of held requests is resent in each interval. As all routers do
+so, each receives it twice a second whatever their number, at less than 2 kB per second."""
 UPDATE_DELAY_S = 0.03
-"""Sessions that others would send to the other version, and states that were written to the store,
-are told together after this. With 28 peers a report goes out each 0.9 s; sessions whose next
-request came to another router sooner went there: 4 on a day, 10 of 200 within 0.1 s of an order."""
+"""Delay in which updates are collected into one message: sessions that other routers would send to
+the other version, and states of roll-outs that were written to the store. With 28 peers, a report
+is sent every 0.9 s. Where the next request of a session reached another router earlier, it went to
+the other version: 4 requests in a day, and 10 of 200 within 0.1 s of an order."""
 
 
 @dataclass(frozen=True, slots=True)
 class DirectPeersLimits:
-    """Times in seconds.
+    """Limits of the exchange between peers; times in seconds.
 
     Attributes
     ----------
-    report_s : float
-        How often each peer is told, and
-    full_pace_peers : int
-        up to how many of them; with more, proportionally less often.
+    report_interval_s : float
+        Interval of the reports to each peer.
+    full_rate_peers : int
+        Number of peers up to which this interval holds; with more, it grows in proportion.
     silence_s : float
-        A peer not heard for so long counts for nothing, and
-    missed_reports : float
-        not before so many of its reports have not come: with 68 peers there is one each 2.1 s.
+        The reports of a peer that was silent for so long are ignored.
+    max_missed_reports : float
+        The reports of a peer count until so many have been missed, even where this exceeds
+        `silence_s`: with 68 peers, there is one every 2.1 s.
     membership : MembershipLimits
     """
 
@@ -120,13 +122,13 @@
         )
         self._received: dict[str, _ReceivedReport] = {}
         self._last_reports: dict[str, _ReceivedReport] = {}
-        """Last words of peers that were leaving."""
+        """The last reports of peers that have drained."""
         self._peers: dict[str, str] = {}
         self._link_mbps = {me.name: gateway.settings.link_mbps}
         self._seq = 0
         self._rounds = 0
         self._is_listed = False
-        """Whether the peers are known that the store lists."""
+        """Whether the list of peers in the store is known."""
         self._is_stopped = False
         self._is_update_due = False
         gateway.trials.follow(self.rank, self._schedule_updates)
@@ -141,14 +143,14 @@
         sharing.link_mbps = self.link_mbps
 
     def start(self) -> None:
-        """Join, and begin to report."""
+        """Join the group and start to report."""
         self._link.listen(self.receive)
         self._membership.start()
         self._report()
         self._resend()
 
     def stop(self) -> None:
-        """Report no more, and leave."""
+        """Stop reporting and leave the group."""
         self._is_stopped = True
         self._membership.stop()
 
@@ -159,20 +161,21 @@
             self._link_mbps.pop(name, None)
         for name, address in found.items():
             self._link.connect(name, address)
-        came = found.keys() - self._peers.keys()
+        joined = found.keys() - self._peers.keys()
         self._peers = found
         self._gateway.gate.shares.set_routers([self._me.name, *found])
-        if came:
-            self._send_full_state(came)
+        if joined:
+            self._send_full_state(joined)
         self._is_listed = True
         self._gateway.budget.router_count = 1 + len(found)
         log.info("peers", extra={"names": sorted(found)})
 
     def _send_full_state(self, names: Iterable[str]) -> None:
-        """Report to peers that are new here at once.
+        """Send the full state to new peers at once.
 
-        They choose readers by the speeds of links that they were told: until then each takes
-        itself for one, 25 reads a second of 80 routers that started together, else 7.
+        Peers choose readers by the reported bandwidths of links; until it has the reports, each
+        router reads for itself. When 80 routers started together, this made 25 reads a second, 7
+        with the reports.
         """
         messages: list[Message] = [self._make_report(), *self._gateway.crashes.sharing.all_news()]
         messages += self._gateway.gate.sharing.all_updates()
@@ -212,21 +215,21 @@
         self._clock.callLater(self._report_interval_s(), self._report)
 
     def _resend(self) -> None:
-        """Tell a few peers what stands: who lost the news has them from one of them."""
+        """Resend the current state to a few peers, for routers that missed an update."""
         if self._is_stopped:
             return
         self._gateway.gate.look()
-        news: list[Message] = [*self._gateway.crashes.sharing.news_again()]
-        news += self._gateway.gate.sharing.updates_to_resend()
+        updates: list[Message] = [*self._gateway.crashes.sharing.news_again()]
+        updates += self._gateway.gate.sharing.updates_to_resend()
         for name in self._rng.sample(list(self._peers), min(RESEND_PEERS, len(self._peers))):
-            for message in news:
+            for message in updates:
                 self._link.send(name, message)
         self._clock.callLater(RESEND_INTERVAL_S, self._resend)
 
     def _report_interval_s(self) -> float:
-        """Return how often each peer is told."""
-        crowd = max(1.0, len(self._peers) / self._limits.full_rate_peers)
-        return self._limits.report_interval_s * crowd
+        """Return the interval of the reports to each peer."""
+        slowdown = max(1.0, len(self._peers) / self._limits.full_rate_peers)
+        return self._limits.report_interval_s * slowdown
 
     def _schedule_updates(self) -> None:
         if not self._is_update_due:
@@ -234,7 +237,7 @@
             self._clock.callLater(UPDATE_DELAY_S, self._send_updates)
 
     def _send_updates(self) -> None:
-        """Tell all peers what has just become known of roll-outs, crashes and limits."""
+        """Send all pending updates on roll-outs, crashes and limits to all peers."""
         self._is_update_due = False
         messages: list[Message] = [*self._gateway.trials.take_news()]
         messages += self._gateway.crashes.sharing.take_news()
@@ -244,45 +247,45 @@
                 self._link.send(name, message)
 
     def _remote_report_every(self) -> int:
-        """Return which report goes to peers in other zones: each one where there are few peers."""
+        """Return n, where every nth report goes to other zones: 1 if there are few peers."""
         return REMOTE_REPORT_EVERY if len(self._peers) > self._limits.full_rate_peers else 1
 
     def _is_remote(self, name: str) -> bool:
-        """Whether a peer has said that it is in another availability zone."""
-        heard = self._received.get(name)
-        return heard is not None and heard.report.zone != self._gateway.settings.zone
+        """Whether a peer has reported that it is in another availability zone."""
+        received = self._received.get(name)
+        return received is not None and received.report.zone != self._gateway.settings.zone
 
-    def _is_silent(self, heard: _ReceivedReport) -> bool:
-        is_far = heard.report.zone != self._gateway.settings.zone
+    def _is_silent(self, received: _ReceivedReport) -> bool:
+        is_remote = received.report.zone != self._gateway.settings.zone
         limits = self._limits
         silence_s = max(limits.silence_s, limits.max_missed_reports * self._report_interval_s())
-        silence_s *= self._remote_report_every() if is_far else 1
-        return heard.received_s < self._clock.seconds() - silence_s
+        silence_s *= self._remote_report_every() if is_remote else 1
+        return received.received_s < self._clock.seconds() - silence_s
 
     def live_reports(self) -> list[PeerReport]:
-        """Return the newest reports of the peers that were heard lately."""
-        for name in [n for n, heard in self._received.items() if self._is_silent(heard)]:
-            heard = self._received.pop(name)
-            if heard.report.retry_after_s:
-                self._last_reports[name] = heard
-        return [heard.report for heard in self._received.values()]
+        """Return the newest reports of the peers that were not silent."""
+        for name in [n for n, received in self._received.items() if self._is_silent(received)]:
+            received = self._received.pop(name)
+            if received.report.retry_after_s:
+                self._last_reports[name] = received
+        return [received.report for received in self._received.values()]
 
     def peer_names(self) -> list[str]:
         """Return the names of the peers that the store lists.
 
-        With many routers each is heard too seldom to go by that.
+        With many routers, reports from each are too rare to derive the names from them.
         """
         return list(self._peers)
 
     def link_mbps(self, name: str) -> float:
-        """Return the bandwidth of a router's link as it last said, 0 where it never did."""
+        """Return the last reported bandwidth of a router's link, 0 if it never reported one."""
         return self._link_mbps.get(name, 0.0)
 
     def rank(self) -> int | None:
-        """Return this router's place among those that the store lists, 0 first.
+        """Return the rank of this router among the routers that the store lists, starting at 0.
 
-        None before they are known. Neighbours by name are in one zone, and are cut off together: so
-        the order is by digest.
+        The result is None before the list is known. The order is by digest, since routers with
+        adjacent names are in one zone and lose their connection together.
         """
         if not self._is_listed:
             return None
@@ -290,25 +293,26 @@
         return sum(xxh3_64_intdigest(name.encode()) < own for name in self._peers)
 
     def peer_available_in_s(self) -> float:
-        """Return the time until a peer takes streams: 0 where one does, or none was heard.
+        """Return the time until a peer accepts streams: 0 if one does, or if no peer has reported.
 
-        A peer that said when it will be back is believed until then, also while it is silent.
+        The time that a drained peer has announced holds until then, even while the peer is silent.
         """
         now_s = self._clock.seconds()
-        back_s = {
+        available_s = {
             n: each.received_s + each.report.retry_after_s for n, each in self._last_reports.items()
         }
         self._last_reports = {
-            n: each for n, each in self._last_reports.items() if back_s[n] > now_s
+            n: each for n, each in self._last_reports.items() if available_s[n] > now_s
         }
-        heard = [each.received_s + each.report.retry_after_s for each in self._received.values()]
+        received = [each.received_s + each.report.retry_after_s for each in self._received.values()]
         waits = [
-            max(0.0, each - now_s) for each in (*heard, *(back_s[n] for n in self._last_reports))
+            max(0.0, each - now_s)
+            for each in (*received, *(available_s[n] for n in self._last_reports))
         ]
         return min(waits, default=0.0)
 
     def running_on_other_versions(self, service: str, version: str) -> int:
-        """Return how many calls run on a service's endpoints that are not of a version."""
+        """Return the number of calls running on a service's endpoints of other versions."""
         gateway = self._gateway
         old = {
             each.lifetime
@@ -316,16 +320,16 @@
             if each.entry.version != version
         }
         own = sum(gateway.placement.running_calls(each) for each in old)
-        theirs = sum(
+        others = sum(
             use.running
             for report in self.live_reports()
             for use in report.uses
             if use.lifetime in old
         )
-        return own + theirs
+        return own + others
 
     def _update_totals(self) -> None:
-        """Hand over what all peers together have under way on each endpoint."""
+        """Pass on the totals of what all peers have running on each endpoint."""
         reports = self.live_reports()
         totals: dict[str, EndpointUse] = {}
         for report in reports:
@@ -344,7 +348,7 @@
         self._gateway.demand.router_count = routers
 
     def receive(self, sender: str, messages: list[Message]) -> None:
-        """Handle what another router sent."""
+        """Handle the messages of another router."""
         for message in messages:
             match message:
                 case PeerReport():
--- a/umberhitch/tasks/direct/presence.py
+++ b/umberhitch/tasks/direct/presence.py
@@ -1,4 +1,4 @@
-"""Whether callers reach a router: from its start on, while it leaves, and when it will be back."""
+"""Readiness and drain of a router, and the time until it is available again."""
 
 from collections.abc import Callable
 
@@ -8,30 +8,31 @@
 __all__ = ["Presence"]
 
 RESTART_S = 0.7
-"""From the end of a process to where the next one takes requests; measured 0.5 to 0.7 s."""
+"""Time from the end of a process until its successor accepts requests: 0.5 to 0.7 s."""
 BALANCER_NOTICE_S = 1.2
-"""Time in which the balancer notices that a router is ready: it looks once a second."""
+"""Time until the balancer notices that a router is ready: it checks once a second."""
 
 
 class Presence:
-    """What the balancer and other routers are told of this one.
+    """The availability of this router, for the balancer and other routers.
 
     Parameters
     ----------
     clock : Clock
     drain_s : float
-        How long a shutdown may take in all.
+        Maximum duration of a shutdown.
     notice_s : float
-        How long connections are taken in it: the balancer notices only then.
+        How long new connections are accepted in a shutdown, since the balancer notices it only
+        after this time.
     is_loaded : callable
-        Whether there are a configuration and a directory.
+        Whether a configuration and a directory are loaded.
     is_busy : callable
-        Whether any request is under way.
+        Whether any request is running.
 
     Attributes
     ----------
-    others_return_s : callable
-        Returns the time until a peer takes streams, 0 where one does.
+    peer_available_in_s : callable
+        Returns the time until a peer accepts streams, 0 if one does.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self._on_idle: Callable[[], None] | None = None
         self.is_draining = False
         self.is_drain_noticed = False
-        """Whether the balancer has noticed that it leaves."""
+        """Whether the balancer has had time to notice the drain."""
         self.peer_available_in_s: Callable[[], float] = lambda: 0.0
 
     @property
@@ -61,7 +62,7 @@
         return self._is_loaded() and not self.is_draining
 
     def drain(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
-        """Begin to leave; see `Gateway.leave`."""
+        """Start the drain; see `Gateway.leave`."""
         self.is_draining = True
         self._drain_deadline_s = self._clock.seconds() + self._drain_s
         self._on_idle = on_idle
@@ -73,13 +74,13 @@
         self.check_idle()
 
     def check_idle(self) -> None:
-        """Say so if it leaves and every request that was read has its answer."""
+        """Call `on_idle` if the router drains and every request that was read is answered."""
         if self._on_idle is not None and self.is_drain_noticed and not self._is_busy():
             on_idle, self._on_idle = self._on_idle, None
             on_idle()
 
     def available_in_s(self) -> float:
-        """Return the time until callers reach this router and it takes streams; 0 where they do."""
+        """Return the time until callers reach this router and it accepts streams; 0 if they do."""
         now_s = self._clock.seconds()
         if self.is_draining:
             return max(0.0, self._drain_deadline_s - now_s) + RESTART_S
@@ -89,10 +90,10 @@
         return max(0.0, since_s + BALANCER_NOTICE_S - now_s)
 
     def retry_after_s(self) -> float:
-        """Return when a stream that is refused since this router leaves should come back.
+        """Return when the caller of a stream that is refused during the drain should retry.
 
-        At once where a peer takes streams, else when the first router does. While all are
-        restarted in turn, those that came back at once were refused twice: 61 of 5,400 requests
-        with three routers 2 s apart, 20 since.
+        The retry is immediate if a peer accepts streams, else when the first router does. When all
+        routers restarted in turn, three of them 2 s apart, callers with an immediate retry were
+        refused twice: 61 of 5,400 requests, and 20 with this rule.
         """
         return max(LEAST_RETRY_S, min(self.available_in_s(), self.peer_available_in_s()))
--- a/umberhitch/tasks/direct/probing.py
+++ b/umberhitch/tasks/direct/probing.py
@@ -1,9 +1,10 @@
-"""Lets probes of requests that are held through, one at a time for all routers.
+"""Permits probes of held requests, one at a time for all routers.
 
-One router decides for each request, by rendezvous hash over those that are known; the others ask
-it. Where it does not answer, the request is refused: it may not be run more often than is known to
-be right, and its caller comes again. Routers that see different peers may ask different ones: then
-there are as many probes at once as there are such views, until each has heard of the other's.
+For each request one router decides, the arbiter, chosen by rendezvous hash over the known routers;
+the others send it their requests. If it does not answer, the probe is refused: the request must not
+be run more often than is known to be safe, and its caller retries. Routers with different lists of
+peers may choose different arbiters: there are then as many probes at once as there are such lists,
+until each arbiter has received the other's updates.
 """
 
 from collections.abc import Callable
@@ -16,11 +17,11 @@
 __all__ = ["Probing"]
 
 REPLY_TIMEOUT_S = 0.15
-"""Longest wait for the router that decides. One in the same region answers within some ms, one in
-another region within 0.1 s."""
+"""Maximum wait for the arbiter. An arbiter in the same region answers within some milliseconds, one
+in another region within 0.1 s."""
 NO_REPLY_RETRY_S = 1.0
-"""Time to come back that is named where it did not answer: it may be one that has just ended, and
-others take its place within some seconds."""
+"""Retry time for the caller if the arbiter did not answer: its process may have just ended, and
+another router takes over within some seconds."""
 
 OnDecision = Callable[[float | None], None]
 
@@ -32,12 +33,12 @@
 
 
 class Probing:
-    """Asks for probes, and decides on those that others ask for.
+    """Requests probes, and decides on the probe requests of other routers.
 
     Parameters
     ----------
     name : str
-        Of this router.
+        Name of this router.
     clock : Clock
     sharing : CrashSharing
     """
@@ -52,29 +53,29 @@
     def request_probe(
         self, key: str, service_version: str, lease_s: float, on_decision: OnDecision
     ) -> None:
-        """Ask to run a request that is held.
+        """Request permission to run a held request.
 
         Parameters
         ----------
         key : str
         service_version : str
-            Service and version that would run it.
+            Service and version that would run the request.
         lease_s : float
-            How long the run lasts at most.
+            Maximum duration of the run.
         on_decision : callable
-            Called with None where it may be run, else with the time to come back, perhaps at once.
+            Called with None if the request may run, else with the time until a retry, possibly 0.
         """
         arbiter = self._sharing.arbiter(key)
         if arbiter == self._name:
             on_decision(self._decide(key, service_version, lease_s))
             return
         self._last_request_id += 1
-        number = self._last_request_id
-        timer = self._clock.callLater(REPLY_TIMEOUT_S, self._finish, number, NO_REPLY_RETRY_S)
-        self._pending[number] = _PendingProbe(on_decision, timer)
-        for news in self._sharing.news_of(key):
-            self._sharing.send(arbiter, news)  # it may not have heard of it
-        self._sharing.send(arbiter, ProbeRequest(number, key, service_version, lease_s))
+        request_id = self._last_request_id
+        timer = self._clock.callLater(REPLY_TIMEOUT_S, self._finish, request_id, NO_REPLY_RETRY_S)
+        self._pending[request_id] = _PendingProbe(on_decision, timer)
+        for update in self._sharing.news_of(key):
+            self._sharing.send(arbiter, update)  # the arbiter may not have received it
+        self._sharing.send(arbiter, ProbeRequest(request_id, key, service_version, lease_s))
 
     def _decide(self, key: str, service_version: str, lease_s: float) -> float | None:
         now_s = self._clock.seconds()
@@ -87,18 +88,20 @@
         return None
 
     def handle_request(self, sender: str, message: ProbeRequest) -> None:
-        """Decide on a probe that another router asks for."""
-        retry_s = self._decide(message.key, message.service_version, message.lease_s)
-        self._sharing.send(sender, ProbeReply(message.request_id, retry_s is None, retry_s or 0.0))
+        """Decide on a probe that another router requests."""
+        retry_after_s = self._decide(message.key, message.service_version, message.lease_s)
+        self._sharing.send(
+            sender, ProbeReply(message.request_id, retry_after_s is None, retry_after_s or 0.0)
+        )
 
     def handle_reply(self, message: ProbeReply) -> None:
-        """Take the answer to an ask of this router."""
+        """Handle the arbiter's reply to a request of this router."""
         self._finish(message.request_id, None if message.is_granted else message.retry_after_s)
 
-    def _finish(self, number: int, retry_s: float | None) -> None:
-        asked = self._pending.pop(number, None)
-        if asked is None:
+    def _finish(self, request_id: int, retry_after_s: float | None) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
             return
-        if asked.timer.active():
-            asked.timer.cancel()
-        asked.on_decision(retry_s)
+        if pending.timer.active():
+            pending.timer.cancel()
+        pending.on_decision(retry_after_s)
--- a/umberhitch/tasks/direct/read_sharing.py
+++ b/umberhitch/tasks/direct/read_sharing.py
@@ -1,12 +1,12 @@
-"""One router reads the platform's store for several: the others ask it instead.
-
-Each call to the store costs, and most would bring every router the same. One of each `READER_GROUP`
-reads, those with the fastest links, and the others ask it what has changed. It holds an
-ask until something has, as the store does. What it tells rests on its own reads, and it says how
-old they are: so an answer proves to the one who asked that its view was the newest at a time that
-it can tell by its own clock, whatever was frozen or late in between. An ask that is not answered in
-time, or from a view that is too old, is put to the next reader and then to the store, so that a
-reader that fails costs one short wait. How a stream is read and told: `tasks/direct/shared_view`.
+"""One router reads the platform's store for several others, which send their requests to it.
+
+Each call to the store has a cost, and most would bring every router the same records. One router of
+each `READER_GROUP`, chosen by the bandwidth of its link, reads, and the others request the changes
+from it. Like the store, it holds a request until there is a change. Its answer rests on its own
+reads and includes their age. So it proves to the requesting router, by that router's own clock, up
+to which time its view was the newest, whatever was frozen or late in between. A request that is not
+answered in time, or from a view that is too old, goes to the next reader and then to the store, so
+that a failed reader costs one short wait. `tasks/direct/shared_view` reads and serves the streams.
 """
 
 from collections.abc import Callable
@@ -23,25 +23,26 @@
 __all__ = ["READER_GROUP", "ReadSharing", "StreamName", "ViewRequestHandler"]
 
 READER_GROUP = 32
-"""Routers for which one reads. It answers some 4 asks a second for each, at some 0.1 ms."""
+"""Number of routers per reader. It answers about 4 requests a second for each, at about 0.1 ms."""
 MAX_SEND_S = 0.5
-"""A change is told where the reader's link carries it to all in this time; else they read it."""
+"""Upper limit of the time to send a change to all peers over the reader's link; for larger changes,
+the peers read the store."""
 DEFAULT_LINK_MBPS = 10.0
-"""Taken for the link's bandwidth where the settings do not name it."""
+"""Bandwidth assumed for a link whose bandwidth is not in the settings."""
 
 
 class StreamName(StrEnum):
-    """The streams that are read for others."""
+    """The streams that are read for other routers."""
 
     OPERATOR = "operator"
     REGISTRY = "registry"
 
 
 class ViewRequestHandler(Protocol):
-    """Answers what peers ask of one stream."""
+    """Answers the requests of peers for one stream."""
 
     def handle_request(self, sender: str, request: ViewRequest) -> None:
-        """Answer, at once or later."""
+        """Answer a request, at once or later."""
         ...
 
 
@@ -53,20 +54,20 @@
 
 @dataclass(slots=True)
 class ReadSharing:
-    """The link's side: sends asks and replies, and knows whom to ask.
+    """Sends requests and replies over the link, and chooses the reader.
 
     Attributes
     ----------
     name : str
-        This router's.
+        Name of this router.
     incarnation : int
-        Replies to asks of an earlier one are not taken.
+        Incarnation of this router; replies to requests of an earlier one are ignored.
     send : callable
         Sends a message to a peer.
     peers : callable
         Returns the names of the peers that the store lists.
     link_mbps : callable
-        Returns the bandwidth of a router's link, 0 where it is not known.
+        Returns the bandwidth of a router's link, 0 if it is not known.
     """
 
     name: str
@@ -77,7 +78,7 @@
     peers: Callable[[], list[str]] = list
     link_mbps: Callable[[str], float] = lambda name: 0.0
     handlers: dict[str, ViewRequestHandler] = field(default_factory=dict)
-    """By stream."""
+    """Handlers of requests by stream."""
     _pending: dict[int, _PendingRequest] = field(default_factory=dict)
     _last_request_id: int = 0
 
@@ -86,21 +87,21 @@
         return self.peers()
 
     def max_change_bytes(self) -> float:
-        """Return how large a change may be that is told, so that all peers have it in time."""
+        """Return the maximum size of a change that can be sent to all peers in time."""
         link_bytes_per_s = (self.link_mbps(self.name) or DEFAULT_LINK_MBPS) * 1e6 / 8
         return link_bytes_per_s * MAX_SEND_S / max(1, len(self.peers()))
 
     def choose_reader(self, excluded: set[str], excludes_self: bool = False) -> str | None:
-        """Return who reads for this router, or None if it reads itself.
+        """Return the reader for this router, or None if it reads the store itself.
 
-        Those with the fastest links read: what they read the others wait for.
+        The routers with the fastest links read, since the others wait for their reads.
 
         Parameters
         ----------
         excluded : set of str
-            Peers that are not asked.
+            Peers that are not sent requests.
         excludes_self : bool
-            Whether this router does not read itself.
+            Whether this router is not a candidate.
         """
         own = set() if excludes_self else {self.name}
         names = sorted({self.name, *self.peers()} - excluded | own)
@@ -110,11 +111,11 @@
         readers = fastest[: -(-len(names) // READER_GROUP)]
         if self.name in readers:
             return None
-        place = sum(name < self.name for name in names)
-        return readers[place % len(readers)]
+        rank = sum(name < self.name for name in names)
+        return readers[rank % len(readers)]
 
     def random_peer(self) -> str | None:
-        """Return a peer by chance, or None."""
+        """Return a random peer, or None if there is none."""
         names = self.peers()
         return self.rng.choice(sorted(names)) if names else None
 
@@ -127,27 +128,29 @@
         timeout_s: float,
         is_patient: bool = False,
     ) -> "Deferred[ViewReply | None]":
-        """Ask a peer what has changed; the result is None where no answer comes in time."""
+        """Request the changes from a peer; the result is None if no reply arrives in time."""
         self._last_request_id += 1
-        number = self._last_request_id
+        request_id = self._last_request_id
         done: Deferred[ViewReply | None] = Deferred()
-        timer = self.clock.callLater(hold_s + timeout_s, self._time_out, number)
-        self._pending[number] = _PendingRequest(done, timer)
-        self.send(peer, ViewRequest(number, self.incarnation, stream, offset, hold_s, is_patient))
+        timer = self.clock.callLater(hold_s + timeout_s, self._time_out, request_id)
+        self._pending[request_id] = _PendingRequest(done, timer)
+        self.send(
+            peer, ViewRequest(request_id, self.incarnation, stream, offset, hold_s, is_patient)
+        )
         return done
 
-    def _time_out(self, number: int) -> None:
-        self._pending.pop(number).done.callback(None)
+    def _time_out(self, request_id: int) -> None:
+        self._pending.pop(request_id).done.callback(None)
 
     def receive(self, sender: str, message: ViewRequest | ViewReply) -> None:
-        """Handle what a peer sent."""
+        """Handle a message of a peer."""
         match message:
             case ViewRequest():
-                answerer = self.handlers.get(message.stream)
-                if answerer is not None:
-                    answerer.handle_request(sender, message)
+                handler = self.handlers.get(message.stream)
+                if handler is not None:
+                    handler.handle_request(sender, message)
             case ViewReply() if message.incarnation == self.incarnation:
-                asked = self._pending.pop(message.request_id, None)
-                if asked is not None:
-                    asked.timer.cancel()
-                    asked.done.callback(message)
+                pending = self._pending.pop(message.request_id, None)
+                if pending is not None:
+                    pending.timer.cancel()
+                    pending.done.callback(message)
--- a/umberhitch/tasks/direct/shared_view.py
+++ b/umberhitch/tasks/direct/shared_view.py
@@ -1,6 +1,6 @@
-"""One stream of the platform's store, read from a peer or from the store, and told to others.
+"""Reads one stream of the store from a peer or from the store, and serves its changes to peers.
 
-See `tasks/direct/sharing` for who asks whom.
+`tasks/direct/read_sharing` describes which router reads for which.
 """
 
 from collections.abc import Callable
@@ -31,41 +31,48 @@
 Value = TypeVar("Value")
 
 EARLY_NOTICE_S = 0.2
-"""A reader that has not the whole of what is new after this says that there is something, so that
-the others read it at the same time: 1.0 MB is in force at three routers of 5 Mbit/s after 1.8 s at
-the most, else 2.7 s (virtual clock, 16 moments)."""
+"""A reader that has not received all new records after this time notifies the routers that wait
+for it, so that they read the store in parallel. With three routers on 5 Mbit/s links, a
+configuration of 1.0 MB is in force after at most 1.8 s, compared with 2.7 s without the notice."""
 HOLD_MARGIN_S = 0.1
-"""The store may hold a call a little shorter than it was asked to; its timers are its own."""
+"""Margin for the store's own timers, which may end a held call a little too early."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadSharingLimits:
-    """How one stream is shared; times in seconds.
+    """Limits for the sharing of one stream; times in seconds.
 
     Attributes
     ----------
     hold_s : float
-        How long a router holds an ask while nothing changes.
-    quick_hold_s : float
-        The same where the one who asks cannot reach the store, and looks for one who can.
-    patience_s : float
-        An ask has failed that takes so much longer.
-    stale_s : float
-        A view that is older is no use: the store is asked.
-    read_wait_s, read_pause_s : float
-        How long a router that others ask lets the store hold its calls, and how long it pauses
-        between them, at most.
-    asked_s : float
-        A router that was asked within this reads for others.
-    shun_s, longest_shun_s : float
-        A router that could not tell what another or the store could is not asked for so long,
-        doubled each time up to the longest.
-    first_retry_s, longest_retry_s : float
-        How long a reader that the store turns away, and whom others tell, leaves the store alone,
-        doubled each time. It learns from them in time what is new.
-    asks_a_call : int
-        While neither the store nor the reader can tell, so many asks are made for one call: the
-        reader calls all the time, and tells the others as soon as the store is back.
+        How long a reader holds a request while nothing changes.
+    short_hold_s : float
+        Hold time for a request whose sender cannot reach the store and searches for a peer that
+        can.
+    timeout_s : float
+        Time allowed for the reply in addition to the hold time.
+    max_age_s : float
+        Maximum age of a peer's view; when the view is older, the store is read instead.
+    read_wait_s : float
+        Maximum time for which the store holds the calls of a router that serves peers.
+    read_pause_s : float
+        Maximum pause between calls to the store of a router that serves peers.
+    serving_window_s : float
+        A router serves peers if it has received a request from one within this time.
+    exclusion_s : float
+        How long a peer is not sent requests after it could not provide what another peer or the
+        store could. The time doubles with each failure.
+    max_exclusion_s : float
+        Upper limit of the exclusion time.
+    first_retry_s : float
+        Back-off of a reader after the first call that the store refused. It doubles with each
+        refusal; meanwhile, the reader receives the changes from peers.
+    max_retry_s : float
+        Upper limit of this back-off.
+    requests_per_call : int
+        Number of requests to the reader per call to the store while neither the store nor the
+        reader can provide the stream. The reader calls the store all the time, and answers its
+        peers as soon as the store has recovered.
     """
 
     hold_s: float = 0.5
@@ -84,8 +91,8 @@
 
 LIMITS = {
     StreamName.OPERATOR: ReadSharingLimits(max_age_s=1.5, read_wait_s=0.8, read_pause_s=0.05),
-    # An endpoint that leaves has to be known within 2 s: of these a view may be 1.0 s old, a hold
-    # and its patience take 0.65 s, and a call to the store some ms.
+    # A draining endpoint must be known within 2 s: a view may be 1.0 s old, a hold and its timeout
+    # take 0.65 s, and a call to the store takes some milliseconds.
     StreamName.REGISTRY: ReadSharingLimits(),
 }
 ENCODERS: dict[StreamName, ChangeEncoder[Any]] = {
@@ -96,7 +103,7 @@
 
 @dataclass(slots=True)
 class _HeldRequest:
-    """An ask that waits for a change."""
+    """A peer's request that waits for a change."""
 
     sender: str
     request: ViewRequest
@@ -105,32 +112,32 @@
 
 
 class _PeerOutcome(Enum):
-    """What a peer's answer is worth that brings nothing by itself."""
+    """The result of a request to a peer that returned no batch."""
 
-    UNKNOWN = "it did not answer, or cannot tell"
-    STALE = "its view is too old"
-    NEWER = "there is something new in the store"
+    UNKNOWN = "no reply, or the peer has no view"
+    STALE = "the view of the peer is too old"
+    NEWER = "the store has newer records"
 
 
 @dataclass(slots=True)
 class _Exclusion:
-    """A peer that is not asked for a while."""
+    """A peer that is not sent requests for some time."""
 
     until_s: float
     duration_s: float
 
 
 class SharedView(Generic[Value]):
-    """One stream, read from a peer or from the store; a `FeedPort`.
+    """One stream, read from a peer or from the store; implements `FeedPort`.
 
     Parameters
     ----------
     sharing : ReadSharing
     stream : StreamName
     port : FeedPort
-        The store's.
+        Reads the stream from the store.
     limits : ReadSharingLimits
-    teller : ChangeEncoder
+    encoder : ChangeEncoder
     """
 
     def __init__(
@@ -153,21 +160,21 @@
         self._last_request_s = float("-inf")
         self._excluded: dict[str, _Exclusion] = {}
         self._is_failing = False
-        """Whether neither the store nor a peer could tell at the last try."""
+        """Whether neither the store nor a peer could provide the stream at the last attempt."""
         self._retry_s = 0.0
-        """Pause between calls to the store that turns this router away; 0 while it does not."""
+        """Back-off between calls to a store that refuses this router; 0 while it does not."""
         self._next_call_s = float("-inf")
         self._has_recovered = False
-        """Whether the store has just been reached again, so that all who wait are to know."""
+        """Whether the store has just recovered, which all routers that wait must be notified of."""
         self._failed_requests = 0
         self._early_timer: Timer | None = None
         self._is_reading = False
-        """Whether something new is being read that takes long."""
+        """Whether a read of new records is taking long."""
 
-    # For this router
+    # Reads for this router
 
     def attach_feed(self, feed: Feed[Value]) -> None:
-        """Tell others what a feed takes."""
+        """Serve the batches that a feed applies to peers."""
         self._feed = feed
         feed.on_applied = self._record_batch
 
@@ -175,7 +182,7 @@
         """Return the newest record of every key, from the store."""
         called_s = self._clock.seconds()
         if self._log.start_offset >= 0:
-            self._on_read_started()  # what had come is replaced by something newer
+            self._on_read_started()  # the records received so far are superseded by newer ones
         try:
             batch = await self._port.newest(timeout_s)
         finally:
@@ -189,15 +196,15 @@
         timeout_s: float,
         on_response_start: Callable[[], None] = do_nothing,
     ) -> FeedBatch[Value]:
-        """Return what has changed, from a peer if one can tell, else from the store."""
+        """Return the changes, from a peer if one can provide them, else from the store."""
         reader = self._choose_reader()
         peer = self._fallback_peer() if reader is None else reader
         if peer is None:
             return await self._since_from_store(offset, wait_s, timeout_s)
-        found = await self._request_changes(peer, offset, self._hold_s(reader))
-        if found in (_PeerOutcome.UNKNOWN, _PeerOutcome.STALE) and not self._is_failing:
-            found = await self._request_from_next(peer, offset) or found
-        match found:
+        outcome = await self._request_changes(peer, offset, self._hold_s(reader))
+        if outcome in (_PeerOutcome.UNKNOWN, _PeerOutcome.STALE) and not self._is_failing:
+            outcome = await self._request_from_next(peer, offset) or outcome
+        match outcome:
             case FeedBatch() as batch:
                 self._is_failing = False
                 return batch
@@ -207,21 +214,26 @@
             case _PeerOutcome.STALE if self._is_failing and reader is not None:
                 self._failed_requests += 1
                 if self._failed_requests % self._limits.requests_per_call:
-                    raise LogUnavailableError("neither the store nor the reader can tell")
+                    raise LogUnavailableError(
+                        "neither the store nor the reader can provide the stream"
+                    )
         batch = await self._since_from_store(offset, 0.0, timeout_s)
-        self._exclude(peer)  # the store could tell what the peer could not
+        self._exclude(peer)  # the store provided what the peer could not
         return batch
 
     def _hold_s(self, reader: str | None) -> float:
-        """Return how long an ask may be held."""
+        """Return how long the peer may hold a request."""
         if reader is None and self._is_failing:
             return self._limits.short_hold_s
         if self._is_stale() and not self._is_failing:
-            return 0.0  # the process stood still: what has changed meanwhile is to be known now
+            return 0.0  # the process was frozen: changes in the meantime must be known now
         return self._limits.hold_s
 
     def _fallback_peer(self) -> str | None:
-        """Return whom a reader asks instead of the store: nobody, unless that turns it away."""
+        """Return the peer from which a reader requests the changes instead of the store.
+
+        The result is None unless the store refuses this router.
+        """
         if self._is_failing:
             return self._sharing.random_peer()
         if self._clock.seconds() < self._next_call_s:
@@ -233,35 +245,35 @@
     async def _request_changes(
         self, peer: str, offset: int, hold_s: float
     ) -> "FeedBatch[Value] | _PeerOutcome":
-        """Ask a peer what has changed."""
+        """Request the changes from a peer."""
         called_s = self._clock.seconds()
         reply = await self._sharing.request_changes(
             peer, self._stream, offset, hold_s, self._limits.timeout_s, self._is_failing
         )
-        found = self._evaluate_reply(reply, called_s, offset)
-        if isinstance(found, FeedBatch):
+        outcome = self._evaluate_reply(reply, called_s, offset)
+        if isinstance(outcome, FeedBatch):
             self._excluded.pop(peer, None)
-        return found
+        return outcome
 
     async def _request_from_next(
         self, failed: str, offset: int
     ) -> "FeedBatch[Value] | _PeerOutcome | None":
-        """Ask another reader, where the first could not tell; None if that cannot either."""
+        """Request the changes from another reader after one failed; None if it fails too."""
         peer = self._sharing.choose_reader({*self._excluded, failed})
         if peer is None:
             return None
-        found = await self._request_changes(peer, offset, 0.0)
-        if found in (_PeerOutcome.UNKNOWN, _PeerOutcome.STALE):
+        outcome = await self._request_changes(peer, offset, 0.0)
+        if outcome in (_PeerOutcome.UNKNOWN, _PeerOutcome.STALE):
             return None
         self._exclude(failed)
-        return found
+        return outcome
 
     def _exclude(self, peer: str) -> None:
-        """Leave a peer alone for a while."""
-        limits, before = self._limits, self._excluded.get(peer)
-        pause_s = limits.exclusion_s if before is None else 2 * before.duration_s
-        pause_s = min(limits.max_exclusion_s, pause_s)
-        self._excluded[peer] = _Exclusion(self._clock.seconds() + pause_s, pause_s)
+        """Send no requests to a peer for some time."""
+        limits, previous = self._limits, self._excluded.get(peer)
+        duration_s = limits.exclusion_s if previous is None else 2 * previous.duration_s
+        duration_s = min(limits.max_exclusion_s, duration_s)
+        self._excluded[peer] = _Exclusion(self._clock.seconds() + duration_s, duration_s)
 
     def _is_stale(self) -> bool:
         proved_s = None if self._feed is None else self._feed.proved_s
@@ -276,10 +288,10 @@
     def _evaluate_reply(
         self, reply: ViewReply | None, called_s: float, offset: int
     ) -> "FeedBatch[Value] | _PeerOutcome":
-        """Return what a peer's answer brings, or why it is of no use."""
+        """Return the batch in a peer's reply, or why there is none."""
         if reply is None or not reply.is_offset_known:
             return _PeerOutcome.UNKNOWN
-        # The peer looked at its view after it had got the ask, and after it had held it.
+        # The peer checked its view after it had received the request and held it.
         proved_s = called_s + reply.held_s - reply.age_s
         is_stale = self._clock.seconds() - proved_s > self._limits.max_age_s
         if is_stale and (self._encoder.encodes_every_change or reply.end <= offset):
@@ -300,10 +312,10 @@
         try:
             batch = await self._port.since(offset, wait_s, patience_s, self._on_read_started)
         except (LogTrimmedError, LogReplacedError):
-            raise  # the store is there, and says that the newest are to be read
+            raise  # the store is reachable, and requires a read of the newest records
         except LogError:
             self._is_failing = True
-            self._excluded.clear()  # all come back to the same readers, which call all the time
+            self._excluded.clear()  # all return to the readers that call the store all the time
             self._back_off()
             raise
         finally:
@@ -318,13 +330,13 @@
         return replace(batch, as_of_s=proved_s, next_call_delay_s=pause_s)
 
     def _back_off(self) -> None:
-        """Put off the next call to the store, as long as others tell what is new."""
+        """Delay the next call to the store; meanwhile, peers provide the changes."""
         limits = self._limits
         self._retry_s = min(limits.max_retry_s, max(limits.first_retry_s, 2 * self._retry_s))
         self._next_call_s = self._clock.seconds() + self._retry_s
 
     def _on_read_started(self) -> None:
-        """Take note that something new is on its way here."""
+        """Mark the feed as behind, and schedule the early notice to waiting peers."""
         self._mark_behind()
         if self._early_timer is None:
             self._early_timer = self._clock.callLater(EARLY_NOTICE_S, self._notify_early)
@@ -338,51 +350,51 @@
         self._answer_held()
 
     def _finish_read(self) -> None:
-        early, self._early_timer = self._early_timer, None
+        timer, self._early_timer = self._early_timer, None
         self._is_reading = False
-        if early is not None and early.active():
-            early.cancel()
+        if timer is not None and timer.active():
+            timer.cancel()
 
     def _is_serving(self) -> bool:
         return self._clock.seconds() - self._last_request_s < self._limits.serving_window_s
 
-    # For others
+    # Answers to peers
 
     def _record_batch(self, batch: FeedBatch[Value], is_snapshot: bool, was_away: bool) -> None:
-        """Remember what the feed has taken, and tell it to those who wait for it."""
+        """Record a batch that the feed has applied, and answer the peers that wait for it."""
         if is_snapshot:
             self._log.reset(batch)
         self._record_changes(batch, is_snapshot, was_away)
-        is_back, self._has_recovered = self._has_recovered, False
-        self._answer_held(is_back)
+        has_recovered, self._has_recovered = self._has_recovered, False
+        self._answer_held(has_recovered)
 
     def _record_changes(self, batch: FeedBatch[Value], is_snapshot: bool, was_away: bool) -> None:
-        most_bytes = self._sharing.max_change_bytes()
-        self._log.append(batch, is_snapshot, was_away, self._is_serving(), most_bytes)
+        max_bytes = self._sharing.max_change_bytes()
+        self._log.append(batch, is_snapshot, was_away, self._is_serving(), max_bytes)
 
     def _answer_held(self, has_recovered: bool = False) -> None:
-        """Answer those for whom there is something new, or all."""
+        """Answer the held requests for which there are changes, or all of them."""
         for held in [
             each for each in self._held if has_recovered or self._has_changes(each.request)
         ]:
-            if held.timer.active():  # else it is due in this very turn
+            if held.timer.active():  # otherwise the hold expires in this turn of the reactor
                 held.timer.cancel()
             self._answer(held)
 
     def _has_changes(self, request: ViewRequest) -> bool:
         if self._feed is None or not self._log.covers(request.offset):
-            return True  # it cannot be told, which is to be known at once
+            return True  # the changes cannot be provided, which the peer must know at once
         if not self._encoder.encodes_every_change:
             return self._end() > request.offset
         return self._log.has_changed_since(request.offset)
 
     def _end(self) -> int:
-        """Return the offset up to which there are records, taken or on their way."""
+        """Return the offset up to which records have been applied or are being read."""
         assert self._feed is not None
         return self._feed.offset + (self._is_reading and not self._encoder.encodes_every_change)
 
     def handle_request(self, sender: str, request: ViewRequest) -> None:
-        """Answer what a peer asks, at once or when something has changed."""
+        """Answer a peer's request, at once or when there is a change."""
         now_s = self._clock.seconds()
         self._last_request_s = now_s
         timer = self._clock.callLater(
@@ -400,42 +412,44 @@
             self._answer(held)
 
     def _can_answer(self, request: ViewRequest) -> bool:
-        """Whether this router is worth waiting for: not while the store turns it away.
+        """Whether a peer may wait for this router: not while the store refuses it.
 
-        Else those who ask it wait for it while it asks them.
+        Otherwise, routers could wait for this one while it sends its requests to them.
         """
         return request.is_held_during_outage or self._clock.seconds() >= self._next_call_s
 
-    def _on_hold_expired(self, sender: str, number: int) -> None:
-        for held in [e for e in self._held if (e.sender, e.request.request_id) == (sender, number)]:
+    def _on_hold_expired(self, sender: str, request_id: int) -> None:
+        for held in [
+            e for e in self._held if (e.sender, e.request.request_id) == (sender, request_id)
+        ]:
             self._answer(held)
 
     def _answer(self, held: _HeldRequest) -> None:
         self._held.remove(held)
-        ask, feed, now_s = held.request, self._feed, self._clock.seconds()
-        reply = ViewReply(ask.request_id, ask.incarnation, False)
-        is_covered = self._log.covers(ask.offset)
-        can_tell = self._has_changes(ask) or self._can_answer(ask)
-        if can_tell and feed is not None and feed.proved_s is not None:
+        request, feed, now_s = held.request, self._feed, self._clock.seconds()
+        reply = ViewReply(request.request_id, request.incarnation, False)
+        is_covered = self._log.covers(request.offset)
+        can_answer = self._has_changes(request) or self._can_answer(request)
+        if can_answer and feed is not None and feed.proved_s is not None:
             if is_covered or not self._encoder.encodes_every_change:
                 reply = ViewReply(
-                    ask.request_id,
-                    ask.incarnation,
+                    request.request_id,
+                    request.incarnation,
                     True,
                     self._end(),
                     round(now_s - feed.proved_s, 4),
                     round(now_s - held.received_s, 4),
                 )
-            # Where more is on its way, the store is to be read.
+            # While more records are being read, the peer must read the store.
             if is_covered and self._end() == feed.offset:
-                reply = self._log.add_changes_to_reply(reply, ask.offset)
+                reply = self._log.add_changes_to_reply(reply, request.offset)
         self._sharing.send(held.sender, reply)
 
 
 def share_stream(
     sharing: ReadSharing, stream: StreamName, port: FeedPort[Value]
 ) -> SharedView[Value]:
-    """Return a port that asks peers first, and remembers what it has to tell them."""
+    """Return a port that reads from peers first, and records the changes to serve them."""
     view = SharedView(sharing, stream, port, LIMITS[stream], ENCODERS[stream])
     sharing.handlers[stream] = view
     return view
--- a/umberhitch/tasks/direct/signal_sharing.py
+++ b/umberhitch/tasks/direct/signal_sharing.py
@@ -1,7 +1,7 @@
-"""What routers tell each other of what endpoints say of themselves.
+"""Exchanges the limits and drain signals of endpoints between routers.
 
-A change is told to all at once, and what stands is told again in turn, so that lost and late
-messages do no harm. A rest is not told: it binds the router that was asked for it.
+A change is sent to all peers at once, and the current state is resent in turn, so that lost and
+late messages do no harm. A back-off is not sent: it applies only to the router that received it.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,19 +18,19 @@
 log = getLogger(__name__)
 
 MAX_RESENT = 12
-"""Endpoints that are told of again at a time, in turn: some 0.6 kB."""
+"""Number of endpoints that are resent at a time, in turn: about 0.6 kB."""
 MIN_UPDATE_INTERVAL_S = 1.0
-"""A change of one endpoint's limit is told at once no more often: one that goes and returns each
-moment is told again with the others, and its senders hear it themselves."""
+"""Minimum interval of the immediate updates on one endpoint's limit. A limit that alternates is
+resent with the others, and the routers that send to the endpoint receive it from there."""
 MAX_MESSAGE_ENDPOINTS = 2_000
-"""Endpoints in one message, some 50 bytes each."""
+"""Maximum number of endpoints in one message, about 50 bytes each."""
 
 OnLimit = Callable[[str, LimitChange, str], None]
 OnDraining = Callable[[str, str], None]
 
 
 class SignalSharing:
-    """Tells what is known here, and takes what peers tell.
+    """Sends the state of limits and drains to peers, and applies what peers send.
 
     Parameters
     ----------
@@ -38,14 +38,14 @@
     limits : AdvertisedLimits
     closed : ClosedEndpoints
     on_limit : callable
-        Called with a lifetime, the change of its limit that a peer told, and the peer.
-    on_leaving : callable
-        Called with a lifetime that leaves, as a peer told, and the peer.
+        Called with a lifetime, the change of its limit that a peer sent, and the peer.
+    on_draining : callable
+        Called with a lifetime that a peer reported as draining, and the peer.
 
     Attributes
     ----------
-    on_news : callable
-        Called when there is something that the peers are to be told at once.
+    on_update : callable
+        Called when there is an update to send to the peers at once.
     """
 
     def __init__(
@@ -64,22 +64,22 @@
         self._on_draining = on_draining
         self._pending: set[str] = set()
         self._sent_s: dict[str, float] = {}
-        """By lifetime, when the last change of its limit was told at once."""
+        """Time of the last immediate update on a limit, by lifetime."""
         self._next_index = 0
 
     def retain(self, known: set[str]) -> None:
-        """Keep only what concerns endpoints that are still known."""
+        """Discard the state of endpoints that are no longer known."""
         self._sent_s = {name: at_s for name, at_s in self._sent_s.items() if name in known}
 
     def note_limit_changed(self, lifetime: str) -> None:
-        """Take note that an answer has changed what is known of an endpoint's limit."""
+        """Schedule an update after an answer has changed an endpoint's limit."""
         now_s = self._clock.seconds()
         if now_s >= self._sent_s.get(lifetime, -inf) + MIN_UPDATE_INTERVAL_S:
             self._sent_s[lifetime] = now_s
             self._queue_update(lifetime)
 
     def note_draining(self, lifetime: str) -> None:
-        """Take note that an answer has said that an endpoint leaves."""
+        """Schedule an update after an answer has said that an endpoint drains."""
         self._queue_update(lifetime)
 
     def _queue_update(self, lifetime: str) -> None:
@@ -87,12 +87,12 @@
         self.on_update()
 
     def pop_updates(self) -> list[EndpointUpdate]:
-        """Return what the peers are to be told at once, and were not."""
-        news, self._pending = self._pending, set()
-        return self._make_updates(sorted(news))
+        """Return the updates to send to the peers at once, and clear them."""
+        pending, self._pending = self._pending, set()
+        return self._make_updates(sorted(pending))
 
     def updates_to_resend(self) -> list[EndpointUpdate]:
-        """Return what is told again: some of what stands or has ended, in turn."""
+        """Return the next updates to resend, on current and ended limits and drains."""
         known = self._known()
         if not known:
             return []
@@ -102,7 +102,7 @@
         )
 
     def all_updates(self) -> list[EndpointUpdate]:
-        """Return what a router is told that is new here."""
+        """Return all updates, for a router that is new here."""
         return self._make_updates(self._known()[-MAX_MESSAGE_ENDPOINTS:])
 
     def _known(self) -> list[str]:
@@ -115,30 +115,30 @@
     def _make_updates(self, lifetimes: Iterable[str]) -> list[EndpointUpdate]:
         now_s = self._clock.seconds()
         ended = self._limits.recently_ended(now_s)
-        limits, leaving = [], []
+        limits, draining = [], []
         for lifetime in lifetimes:
-            limit, word = self._limits.get(lifetime), self._closed.draining.get(lifetime)
+            limit, drain = self._limits.get(lifetime), self._closed.draining.get(lifetime)
             if limit is not None:
                 limits.append(LimitNotice(lifetime, round(now_s - limit.received_s, 4), limit.rate))
             elif lifetime in ended:
                 limits.append(LimitNotice(lifetime, round(now_s - ended[lifetime], 4), None))
-            if word is not None:
-                leaving.append(DrainNotice(lifetime, round(now_s - word.received_s, 4)))
-        return [EndpointUpdate(limits, leaving)] if limits or leaving else []
+            if drain is not None:
+                draining.append(DrainNotice(lifetime, round(now_s - drain.received_s, 4)))
+        return [EndpointUpdate(limits, draining)] if limits or draining else []
 
     def receive(self, sender: str, message: EndpointUpdate) -> None:
-        """Take what a peer tells."""
+        """Apply an update of a peer."""
         now_s = self._clock.seconds()
-        for told in message.limits:
-            if told.rate is None:
-                change = self._limits.apply_end_notice(told.lifetime, told.age_s, now_s)
+        for notice in message.limits:
+            if notice.rate is None:
+                change = self._limits.apply_end_notice(notice.lifetime, notice.age_s, now_s)
             else:
                 change = self._limits.apply_notice(
-                    told.lifetime, told.rate, told.age_s, sender, now_s
+                    notice.lifetime, notice.rate, notice.age_s, sender, now_s
                 )
             if change is not LimitChange.NONE:
-                self._on_limit(told.lifetime, change, sender)
-        for left in message.draining:
-            heard_s = now_s - max(0.0, left.age_s)
-            if self._closed.apply_draining(left.lifetime, heard_s, sender, now_s):
-                self._on_draining(left.lifetime, sender)
+                self._on_limit(notice.lifetime, change, sender)
+        for drain_notice in message.draining:
+            received_s = now_s - max(0.0, drain_notice.age_s)
+            if self._closed.apply_draining(drain_notice.lifetime, received_s, sender, now_s):
+                self._on_draining(drain_notice.lifetime, sender)
--- a/umberhitch/tasks/direct/store_view.py
+++ b/umberhitch/tasks/direct/store_view.py
@@ -1,4 +1,4 @@
-"""What a router of the direct path believes, as the platform's store told it."""
+"""The configuration and the endpoints as last read from the platform's store."""
 
 from collections.abc import Callable
 from logging import getLogger
@@ -23,7 +23,7 @@
 log = getLogger(__name__)
 
 SWEEP_INTERVAL_S = 0.25
-"""How often entries that have not come back are looked for."""
+"""Interval at which entries that lapsed and did not return are removed."""
 
 
 class StoreView:
@@ -33,16 +33,19 @@
     ----------
     clock : Clock
     rng : Random
-    operator_port, registry_port : FeedPort
-    operator_pace, endpoint_pace : FeedTiming
-    trials : Trials
-        Gets the orders of roll-outs.
-    on_endpoints : callable
-        Called when endpoints have come or gone, with the addresses of those that are gone.
+    operator_port : FeedPort
+    registry_port : FeedPort
+    operator_timing : FeedTiming
+    endpoint_timing : FeedTiming
+    canary_controller : CanaryController
+        Receives the roll-out orders.
+    on_endpoints_changed : callable
+        Called with the addresses of the endpoints that were removed, also where endpoints were
+        only added.
     on_restarted : callable
-        Called with the lifetime that has ended where an endpoint started again.
+        Called with the previous lifetime of an endpoint that restarted.
     directory : Directory
-        Is filled by what the registry says.
+        Updated from the registry.
     """
 
     def __init__(
@@ -65,7 +68,7 @@
         self._on_endpoints_changed = on_endpoints_changed
         self._on_restarted = on_restarted
         self._zones_out: dict[str, str] = {}
-        """Zones out of service by the key of the record that says so."""
+        """Zones out of service, by the key of the record that removed them."""
         self._is_stopped = False
         self.operator_feed: Feed[OperatorValue] = Feed(
             "operator",
@@ -87,13 +90,13 @@
         )
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start to follow the store."""
         self.operator_feed.start()
         self.registry_feed.start()
         self._sweep()
 
     def stop(self) -> None:
-        """Follow it no more."""
+        """Stop following the store."""
         self._is_stopped = True
         self.operator_feed.stop()
         self.registry_feed.stop()
@@ -108,7 +111,7 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether there are a configuration and a directory."""
+        """Whether a configuration and a directory are loaded."""
         return self.table is not None and self.directory.is_loaded
 
     @property
@@ -117,14 +120,15 @@
         return self.operator_feed.is_failing or self.registry_feed.is_failing
 
     def proof_age_s(self, at_s: float) -> float:
-        """Return how old the proof that the configuration is the newest was at a time."""
+        """Return the age, at a given time, of the proof that the configuration is the newest."""
         proved_s = self.operator_feed.proved_s
         return float("inf") if proved_s is None else at_s - proved_s
 
     def behind_s(self) -> float:
-        """Return how long a newer configuration has been known that is not in force here.
+        """Return how long a newer configuration has been known without being in force here.
 
-        0 while the store is away: what it has cannot be had, and nothing new is confirmed.
+        The result is 0 while the store is unavailable: its contents cannot be read, and no new
+        configuration is confirmed.
         """
         since_s = self.operator_feed.behind_since_s
         if since_s is None or self.operator_feed.is_failing:
@@ -132,14 +136,14 @@
         return self.clock.seconds() - since_s
 
     def registry_age_s(self) -> float | None:
-        """Return how old the directory is, or None while there is none."""
+        """Return the age of the directory, or None if it has not been loaded."""
         proved_s = self.registry_feed.proved_s
         return None if proved_s is None else round(self.clock.seconds() - proved_s, 3)
 
     def _apply_order_snapshot(self, batch: FeedBatch[OperatorValue]) -> None:
         self._apply_orders(batch, False)
-        standing = {each.key for each in batch.records if each.value is not None}
-        for key in self._zones_out.keys() - standing:
+        present = {each.key for each in batch.records if each.value is not None}
+        for key in self._zones_out.keys() - present:
             self._restore_zone(key)
         self.canary_controller.keep(
             [r.value for r in batch.records if isinstance(r.value, RolloutOrder)]
@@ -188,7 +192,7 @@
         self.directory.is_loaded = True
 
     def _apply_endpoints(self, batch: FeedBatch[EndpointEntry], was_away: bool) -> None:
-        gone: list[str] = []
+        removed: list[str] = []
         now_s = self.clock.seconds()
         for record in batch.records:
             known = self.directory.get(record.key)
@@ -196,11 +200,11 @@
                 ended = self.directory.put(record.value, now_s)
                 if ended is not None:
                     log.info("endpoint started again", extra={"endpoint": ended.lifetime})
-                    gone.append(ended.entry.address)
+                    removed.append(ended.entry.address)
                     self._on_restarted(ended)
             elif was_away:
                 self.directory.lapse(record.key, now_s, self.registry_feed.proved_s)
             elif known is not None:
-                gone.append(known.entry.address)
+                removed.append(known.entry.address)
                 self.directory.drop(record.key)
-        self._on_endpoints_changed(gone)
+        self._on_endpoints_changed(removed)
--- a/umberhitch/tasks/direct/stored_holds.py
+++ b/umberhitch/tasks/direct/stored_holds.py
@@ -1,9 +1,9 @@
-"""Keeps the requests that are held in the store, for routers that all lose power at once.
+"""Stores the held requests, so that they survive a power loss of all routers at once.
 
-The router that decides on a request's probes writes it, when it is held, probed or free again; that
-is three calls for a request that is never mended. Two routers read all of it when they start, and
-tell the others: where one router starts, its peers tell it sooner. Times are not kept, as no clock
-outlives its host: a hold that is read begins anew.
+The router that decides on the probes of a request writes a record when the request is held, probed
+or released: three calls for a request that never succeeds. When routers start, two of them read all
+records and send them to the others; a single router that starts gets them from its peers first.
+Times are not stored, as no clock survives its host: the timers of a restored hold start from zero.
 """
 
 from collections import OrderedDict
@@ -23,17 +23,17 @@
 log = getLogger(__name__)
 
 READERS = 2
-"""Routers that read it at their start, in the order of the digests of their names."""
+"""Number of routers that read the records at start, in the order of the digests of their names."""
 STARTUP_DELAY_S = 1.0
-"""Routers that start together know each other by then, and so who is to read."""
+"""Routers that start together know each other after this time, and so which of them read."""
 RETRY_S = 2.0
-"""Pause after a call to the store that failed; it may be away for seconds."""
+"""Pause after a failed call to the store, which may be unavailable for seconds."""
 MAX_PENDING_WRITES = 64
-"""Requests that wait to be written while the store is away; the oldest yield."""
+"""Requests that may wait to be written while the store is unavailable; the oldest are dropped."""
 
 
 class StoredHolds:
-    """One router's part in what stands in the store.
+    """Reads and writes the stored holds for one router.
 
     Parameters
     ----------
@@ -41,8 +41,8 @@
     port : HoldsPort
     sharing : CrashSharing
     rank : callable
-        Returns this router's place among those that the store lists, 0 first; None before they are
-        known.
+        Returns the rank of this router among the routers that the store lists, starting at 0, or
+        None before the list is known.
     """
 
     def __init__(
@@ -62,11 +62,11 @@
         sharing.on_decided = self.write
 
     def start(self) -> None:
-        """Read what was held before, if that is this router's part."""
+        """Read the stored holds if this router is one of the readers."""
         ensureDeferred(self._read()).addErrback(_log_failure)
 
     def stop(self) -> None:
-        """Read and write nothing more."""
+        """Stop reading and writing."""
         self._is_stopped = True
 
     async def _read(self) -> None:
@@ -95,7 +95,7 @@
             self._sharing.probed(hold.key, hold.service_version, hold.probes, 0.0)
 
     def write(self, key: str) -> None:
-        """Let stand in the store what is known of a request now."""
+        """Write the current state of a request to the store."""
         self._pending_keys[key] = None
         while len(self._pending_keys) > MAX_PENDING_WRITES:
             self._pending_keys.popitem(last=False)
@@ -127,4 +127,4 @@
 
 
 def _log_failure(failure: object) -> None:
-    log.error("stored holds ended", extra={"e": str(failure)})
+    log.error("access to stored holds failed", extra={"e": str(failure)})
