--- a/umberhitch/tasks/direct/stored_states.py
+++ b/umberhitch/tasks/direct/stored_states.py
@@ -1,8 +1,9 @@
-"""The states of roll-outs in the platform's store: one router writes each, and tells the others.
+"""The states of roll-outs in the platform's store: one router writes each state for all.
 
-What is final is written under the condition that nothing was written since it was read, so that one
-verdict stands, whoever wrote it; no lease is needed, and the loss of any router, or of all, loses
-nothing but time. Which router reads and writes first goes by rank among those that the store lists.
+A final state is written on the condition that nothing was written since the last read, so that
+there is one verdict whichever router writes it. This needs no lease, and the loss of one or all
+routers costs only time. The order in which routers read and write follows their rank among the
+routers that the store lists.
 """
 
 from collections.abc import Callable
@@ -20,36 +21,37 @@
 log = getLogger(__name__)
 
 TURN_POLL_S = 0.1
-"""How often a router that waits for its turn looks whether it was told."""
+"""Interval at which a router that waits for its turn checks whether a peer has sent the state."""
 RETRY_S = 0.3
-"""Pause after a call to the store that failed."""
+"""Pause after a failed call to the store."""
 RANK_DELAY_S = 0.2
-"""So much later each next router asks the store what stands, and writes: one that did tells the
-others within 0.05 s, so that one of 68 calls the store, and not each. Where the store turns a third
-of them away, the fifth in rank writes after 0.8 s at the latest in 99 of 100 cases."""
+"""Additional delay per rank before a router reads the state from the store and writes it. A router
+that has written it sends it to the others within 0.05 s, so that one of 68 routers calls the store
+rather than all. If the store refuses a third of the routers, the fifth router in rank writes after
+at most 0.8 s in 99 of 100 cases."""
 MAX_RANK_WAIT_S = 1.0
-"""A router that has no list of the others after this goes on without."""
+"""A router that has no list of the others after this time proceeds without it."""
 FINAL_STATES = (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
 STATES = frozenset(RolloutState)
 
 
 class StoredRolloutStates:
-    """What stands in the store of each roll-out, as far as this router knows.
+    """The state of each roll-out in the store, as far as this router knows.
 
     Parameters
     ----------
     clock : Clock
     status : StatusPort
     on_final : callable
-        Takes a roll-out of which a final state stands, and that.
+        Called with a roll-out whose final state is known, and with this state.
 
     Attributes
     ----------
     rank : callable
-        Returns this router's place among those that the store lists, 0 first; None before they are
-        known.
-    on_untold : callable
-        Called when there is something that the others are to be told at once.
+        Returns the rank of this router among the routers that the store lists, starting at 0, or
+        None before the list is known.
+    on_unsent : callable
+        Called when a state must be sent to the peers at once.
     """
 
     def __init__(
@@ -63,125 +65,128 @@
         self._canaries: dict[str, Canary] = {}
         self._writing: set[str] = set()
         self._unread: set[str] = set()
-        """Services of whose roll-out it is not known yet whether it was decided before."""
+        """Services for which it is not known yet whether their roll-out was decided earlier."""
         self._written: dict[str, RolloutState] = {}
-        """By service: the state that stands."""
+        """The state in the store, by service."""
         self._confirmed: dict[str, RolloutState] = {}
-        """The same as this router read or wrote it itself."""
+        """The state in the store by service, where this router read or wrote it itself."""
         self._unsent: set[str] = set()
-        """Services of which the others have not been told yet what stands."""
+        """Services whose state has not been sent to the peers yet."""
         self._is_stopped = False
 
-    def follow(self, trial: Canary) -> None:
+    def follow(self, canary: Canary) -> None:
         """Follow a roll-out that was ordered."""
-        service = trial.order.service
+        service = canary.order.service
         self.drop(service)
-        self._canaries[service] = trial
+        self._canaries[service] = canary
         self._unread.add(service)
-        self.ensure_written(trial, RolloutState.IN_PROGRESS)
+        self.ensure_written(canary, RolloutState.IN_PROGRESS)
 
     def drop(self, service: str) -> None:
-        """Forget a roll-out."""
+        """Stop following the roll-out of a service."""
         self._canaries.pop(service, None)
         self._written.pop(service, None)
         self._confirmed.pop(service, None)
         self._unread.discard(service)
 
     def stop(self) -> None:
-        """Write nothing more."""
+        """Stop writing."""
         self._is_stopped = True
 
     def is_earlier_decision_known(self, service: str) -> bool:
-        """Whether it is known if a roll-out was decided before."""
+        """Whether it is known if a roll-out was decided earlier."""
         return service not in self._unread
 
     def confirmed_state(self, service: str) -> str:
-        """Return the state that this router found or wrote; empty where it did not."""
+        """Return the state that this router read or wrote, or an empty string if it did neither."""
         return self._confirmed.get(service, "")
 
     def pop_unsent(self) -> set[str]:
-        """Return the services of which the others are to be told what stands."""
-        untold, self._unsent = self._unsent, set()
-        return untold
+        """Return the services whose state must be sent to the peers, and clear them."""
+        unsent, self._unsent = self._unsent, set()
+        return unsent
 
-    # What others tell
+    # Updates from peers
 
     def note_peer_follows(self, service: str) -> None:
-        """Take note that a peer follows the same order."""
+        """Note that a peer follows the same order."""
         self._unread.discard(service)
 
-    def apply_peer_state(self, trial: Canary, state: str) -> None:
-        """Take note of a state that a peer found or wrote; empty where it did not."""
-        if state in STATES and self._canaries.get(trial.order.service) is trial:
-            self._note_written(trial, RolloutState(state))
+    def apply_peer_state(self, canary: Canary, state: str) -> None:
+        """Apply a state that a peer read or wrote; an empty string means that it did neither."""
+        if state in STATES and self._canaries.get(canary.order.service) is canary:
+            self._note_written(canary, RolloutState(state))
 
-    def _note_written(self, trial: Canary, state: RolloutState) -> None:
-        service = trial.order.service
+    def _note_written(self, canary: Canary, state: RolloutState) -> None:
+        service = canary.order.service
         self._unread.discard(service)
         if self._written.get(service) in FINAL_STATES:
             return
         self._written[service] = state
         if state in FINAL_STATES:
-            self._on_final(trial, state)
+            self._on_final(canary, state)
 
     # Writing
 
-    def ensure_written(self, trial: Canary, state: RolloutState) -> None:
-        """Let a state stand, unless one does that says as much."""
-        service = trial.order.service
-        if service in self._writing or not self._is_wanted(trial, state):
+    def ensure_written(self, canary: Canary, state: RolloutState) -> None:
+        """Write a state unless the store has an equivalent or final one."""
+        service = canary.order.service
+        if service in self._writing or not self._is_wanted(canary, state):
             return
         self._writing.add(service)
-        done = ensureDeferred(self._write(trial, state))
+        done = ensureDeferred(self._write(canary, state))
         done.addErrback(
-            lambda failure: log.error("roll-out not written", extra={"e": str(failure)})
+            lambda failure: log.error("writing of roll-out state failed", extra={"e": str(failure)})
         )
         done.addBoth(lambda result: self._writing.discard(service))
 
-    def _is_wanted(self, trial: Canary, state: RolloutState) -> bool:
-        """Whether a state is still to be written: none stands, or it is final and none is."""
-        service = trial.order.service
-        if self._is_stopped or self._canaries.get(service) is not trial:
+    def _is_wanted(self, canary: Canary, state: RolloutState) -> bool:
+        """Whether a state must still be written.
+
+        This is so if the store has none, or if the state is final and the stored one is not.
+        """
+        service = canary.order.service
+        if self._is_stopped or self._canaries.get(service) is not canary:
             return False
-        stands = self._written.get(service)
-        return stands is None or (state in FINAL_STATES and stands not in FINAL_STATES)
-
-    async def _write(self, trial: Canary, state: RolloutState) -> None:
-        """Read what stands, and write the state unless a final one stands already."""
-        service, target = trial.order.service, trial.order.target
-        await self._wait_for_turn(trial, state)
-        while self._is_wanted(trial, state):
-            if trial.state in FINAL_STATES:
-                state = trial.state
+        current = self._written.get(service)
+        return current is None or (state in FINAL_STATES and current not in FINAL_STATES)
+
+    async def _write(self, canary: Canary, state: RolloutState) -> None:
+        """Read the stored state, and write the given one unless a final state is stored already."""
+        service, target = canary.order.service, canary.order.target
+        await self._wait_for_turn(canary, state)
+        while self._is_wanted(canary, state):
+            if canary.state in FINAL_STATES:
+                state = canary.state
             try:
                 stored = await self._status.read()
                 self._unread.discard(service)
-                found, stands = stored.states.get(service, ("", RolloutState.IN_PROGRESS))
-                if found == target and (stands in FINAL_STATES or stands is state):
-                    self._note_confirmed(trial, stands)
+                found, current = stored.states.get(service, ("", RolloutState.IN_PROGRESS))
+                if found == target and (current in FINAL_STATES or current is state):
+                    self._note_confirmed(canary, current)
                 elif await self._status.write(service, target, state, stored.end):
-                    self._note_confirmed(trial, state)
+                    self._note_confirmed(canary, state)
             except LogError as exc:
                 log.warning("roll-out state not written", extra={"error": str(exc)})
                 await pause(self._clock, RETRY_S)
 
-    async def _wait_for_turn(self, trial: Canary, state: RolloutState) -> None:
-        """Wait until the routers before this one had time, or one of them tells what stands."""
-        began_s = self._clock.seconds()
-        while self._is_wanted(trial, state):
+    async def _wait_for_turn(self, canary: Canary, state: RolloutState) -> None:
+        """Wait until the routers of lower rank had time to write, or one has sent the state."""
+        started_s = self._clock.seconds()
+        while self._is_wanted(canary, state):
             rank = self.rank()
             wait_s = MAX_RANK_WAIT_S if rank is None else RANK_DELAY_S * rank
-            left_s = began_s + wait_s - self._clock.seconds()
+            left_s = started_s + wait_s - self._clock.seconds()
             if left_s <= 0.0:
                 return
             await pause(self._clock, min(TURN_POLL_S, left_s))
 
-    def _note_confirmed(self, trial: Canary, state: RolloutState) -> None:
-        """Take note of what stands in the store, and tell the others."""
-        service = trial.order.service
-        if self._canaries.get(service) is not trial:
+    def _note_confirmed(self, canary: Canary, state: RolloutState) -> None:
+        """Record the state in the store, and send it to the peers."""
+        service = canary.order.service
+        if self._canaries.get(service) is not canary:
             return
         self._confirmed[service] = state
         self._unsent.add(service)
-        self._note_written(trial, state)
+        self._note_written(canary, state)
         self.on_unsent()
--- a/umberhitch/tasks/direct/tests/test_change_encoding.py
+++ b/umberhitch/tasks/direct/tests/test_change_encoding.py
@@ -1,4 +1,4 @@
-"""Changes of configurations that routers tell each other: all come to the same, whatever fails."""
+"""Changes of configurations between routers: all converge to the same, whatever fails."""
 
 from random import Random
 
@@ -24,7 +24,7 @@
     return document.number, routes, document.services, document.customers, document.intake
 
 
-def _disturb(world: DirectWorld, routers: list[DirectRouter], rng: Random) -> None:
+def _inject_fault(world: DirectWorld, routers: list[DirectRouter], rng: Random) -> None:
     router = rng.choice(routers)
     match rng.randrange(6):
         case 0:
@@ -45,7 +45,7 @@
             world.operator.put("rollout/svc", rng.choice((order, None)))
 
 
-def _calm(world: DirectWorld, routers: list[DirectRouter]) -> None:
+def _clear_faults(world: DirectWorld, routers: list[DirectRouter]) -> None:
     world.network.faults.drop = world.network.faults.repeat = 0.0
     for router in routers:
         router.faults.is_down = False
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_all_routers_come_to_the_newest_configuration(seed):
+def test_all_routers_converge_to_the_newest_configuration(seed):
     rng = Random(seed)
     world = DirectWorld()
     world.add_endpoint("e1")
@@ -68,20 +68,20 @@
             newest = _document(number, rng)
             world.operator.put("config", newest)
         else:
-            _disturb(world, routers, rng)
+            _inject_fault(world, routers, rng)
         world.run(rng.choice((0.02, 0.1, 0.7)))
-    _calm(world, routers)
+    _clear_faults(world, routers)
     world.run(3.0)
     tables = [router.gateway.table for router in routers]
     expected = _content(newest)
     assert [_content(table and table.document) for table in tables] == [expected] * ROUTERS
 
 
-def test_what_operators_wrote_is_read_from_the_store_by_few():
+def test_few_routers_read_the_operator_stream_from_the_store():
     world = DirectWorld()
     world.operator.put("config", make_direct_document(1))
     routers = [world.add_router(f"r{number}", link_mbps=100.0) for number in range(ROUTERS)]
-    world.run(12.0)  # until all ask the same one
+    world.run(12.0)  # until all send their requests to the same reader
     others = [router.operator for router in routers[1:]]
     before = sum(feed.calls for feed in others)
     for number in range(2, 12):
@@ -91,30 +91,30 @@
     assert {router.gateway.table.document.number for router in routers} == {11}
 
 
-def test_no_key_of_a_customer_is_told():
-    """The link between routers may be open."""
+def test_no_key_of_a_customer_is_sent_to_peers():
+    """The link between routers may be unencrypted."""
     world = DirectWorld()
     world.operator.put("config", make_direct_document(1))
     for number in range(ROUTERS):
         world.add_router(f"r{number}", link_mbps=100.0)
-    told: list[str] = []
+    sent: list[str] = []
 
     def note(sender: str, peer: str, message: Message) -> bool:
         if isinstance(message, ViewReply):
-            told.extend(repr(unpack_value(packed)) for _, packed in message.packed)
+            sent.extend(repr(unpack_value(packed)) for _, packed in message.packed)
         return False
 
     world.network.drop_where(note)
     world.run(12.0)
     world.operator.put("config", make_direct_document(2, keys=("a-secret",)))
     world.run(0.5)
-    assert any("customers={'" in each for each in told)
-    assert not any("a-secret" in each for each in told)
-    asked = world.ask(world.routers["r3"], "/look/x", key="a-secret")
-    assert asked.status != 401
+    assert any("customers={'" in each for each in sent)
+    assert not any("a-secret" in each for each in sent)
+    req = world.ask(world.routers["r3"], "/look/x", key="a-secret")
+    assert req.status != 401
 
 
-def test_a_reader_that_the_store_turns_away_has_what_is_new_from_the_others():
+def test_a_reader_that_the_store_refuses_receives_changes_from_peers():
     world = DirectWorld()
     world.operator.put("config", make_direct_document(1))
     routers = [world.add_router(f"r{number}", link_mbps=100.0) for number in range(ROUTERS)]
--- a/umberhitch/tasks/direct/tests/test_crash_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_crash_mutations.py
@@ -68,7 +68,7 @@
 
 
 def _decide_alone(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Probing, "ask", lambda self, key, place, lease_s, done: done(None))
+    patch.setattr(Probing, "request_probe", lambda self, key, place, lease_s, decide: decide(None))
 
 
 def _blame_all(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/tests/test_lifetimes.py
+++ b/umberhitch/tasks/direct/tests/test_lifetimes.py
@@ -1,4 +1,4 @@
-"""Routers where an endpoint starts again under its incarnation: nothing of before is believed."""
+"""Endpoints that restart under the same incarnation: all state of the old lifetime is discarded."""
 
 from umberhitch.core.direct import ReportedLoad
 from umberhitch.fakes import FakeEndpoint, Reply
@@ -7,7 +7,7 @@
 
 PROMPT = "aa:3000,bb:10"
 READ_S = 1.2
-"""The registry is read each 0.95 s."""
+"""The registry is read every 0.95 s."""
 
 
 def _world() -> tuple[DirectWorld, DirectRouter]:
@@ -22,27 +22,27 @@
     return endpoint
 
 
-def test_what_its_engine_had_cached_is_believed_no_more():
+def test_the_cached_prefixes_of_the_previous_lifetime_are_discarded():
     world, router = _world()
-    ask = world.ask(router, "/draft/x", Prompt=PROMPT)
+    req = world.ask(router, "/draft/x", Prompt=PROMPT)
     world.run(0.2)
-    assert ask.status == 200
+    assert req.status == 200
     placement = router.gateway.placement
     before = router.gateway.directory.get("e1").lifetime
-    assert [*placement._observed[before].cached] == [("", "aa")]
+    assert [*placement._seen[before].cached] == [("", "aa")]
     _restart(world)
     after = router.gateway.directory.get("e1").lifetime
-    assert before not in placement._observed
-    assert after not in placement._observed or not placement._observed[after].cached
+    assert before not in placement._seen
+    assert after not in placement._seen or not placement._seen[after].cached
 
 
-def test_kept_connections_to_the_process_before_are_closed():
+def test_idle_connections_to_the_previous_process_are_closed():
     world, _ = _world()
     _restart(world)
     assert world.endpoints.closed == ["@e1"]
 
 
-def test_a_load_report_of_the_lifetime_before_that_comes_late_changes_nothing():
+def test_a_late_load_report_of_the_previous_lifetime_is_ignored():
     world, router = _world()
     endpoint = world.endpoints.by_address["@e1"]
     endpoint.reply = Reply(delay_s=2.0, load=ReportedLoad(8, 40, 8))
@@ -51,12 +51,12 @@
     _restart(world)
     world.run(1.0)
     lifetime = router.gateway.directory.get("e1").lifetime
-    seen = router.gateway.placement._observed
+    seen = router.gateway.placement._seen
     assert list(seen) in ([], [lifetime])
     assert all(each.load is None for each in seen.values())
 
 
-def test_calls_that_peers_tell_of_the_lifetime_before_do_not_count():
+def test_calls_that_peers_report_for_the_previous_lifetime_do_not_count():
     world, router = _world()
     other = world.add_router("r2")
     world.run(2.0)
@@ -71,41 +71,41 @@
     assert running(router.gateway.directory.get("e1").lifetime) == 0
 
 
-def test_what_was_open_at_the_lifetime_before_is_unknown_and_not_repeated():
+def test_a_call_open_at_the_previous_lifetime_is_unknown_and_not_repeated():
     world, router = _world()
     first = world.endpoints.by_address["@e1"]
     first.reply = Reply(delay_s=2.0, failure=CallFailure.BROKEN)
-    ask = world.ask(router, "/order/x")
+    req = world.ask(router, "/order/x")
     world.run(0.1)
     second = _restart(world)
     world.run(2.0)
-    assert ask.status == 502
-    assert first.ran == [ask.call_id]
+    assert req.status == 502
+    assert first.ran == [req.call_id]
     assert second.calls == []
 
 
-def test_what_may_be_repeated_goes_on_at_the_new_lifetime():
+def test_a_repeatable_call_is_retried_at_the_new_lifetime():
     world, router = _world()
     world.endpoints.by_address["@e1"].reply = Reply(delay_s=2.0, failure=CallFailure.BROKEN)
-    ask = world.ask(router, "/look/x")
+    req = world.ask(router, "/look/x")
     world.run(0.1)
     second = _restart(world)
     world.run(2.0)
-    assert ask.status == 200
-    assert second.ran == [ask.call_id]
+    assert req.status == 200
+    assert second.ran == [req.call_id]
 
 
-def test_a_word_from_the_process_before_does_not_take_the_new_one_out():
-    """The one before said that another has its address, as the new one was known already."""
+def test_an_answer_of_the_previous_process_does_not_remove_the_new_one():
+    """The previous process answers that another has its address, as the new one is registered."""
     world, router = _world()
     reply = Reply(status=421, not_run=True, is_elsewhere=True, delay_s=2.0)
     world.endpoints.by_address["@e1"].reply = reply
-    ask = world.ask(router, "/look/x")
+    req = world.ask(router, "/look/x")
     world.run(0.1)
     _restart(world)
     world.run(2.0)
     assert router.gateway.directory.get("e1") is not None
-    assert ask.status == 200
+    assert req.status == 200
 
 
 def test_routers_that_read_from_a_peer_learn_of_the_new_lifetime():
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -38,18 +38,18 @@
 
 
 def nobody_is_told(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SignalSharing, "_tell", lambda self, lifetimes: [])
+    patch.setattr(SignalSharing, "_make_updates", lambda self, lifetimes: [])
     return limits.test_peers_know_it_at_once_and_who_lost_the_word_within_seconds
 
 
 def nobody_is_told_again(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SignalSharing, "news_again", lambda self: [])
+    patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
     return limits.test_peers_know_it_at_once_and_who_lost_the_word_within_seconds
 
 
 def new_routers_are_not_told(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SignalSharing, "all_news", lambda self: [])
-    patch.setattr(SignalSharing, "news_again", lambda self: [])
+    patch.setattr(SignalSharing, "all_updates", lambda self: [])
+    patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
     return limits.test_a_router_that_starts_is_told
 
 
--- a/umberhitch/tasks/direct/tests/test_membership.py
+++ b/umberhitch/tasks/direct/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Calls to the store for being there: few routers read the list, one writes a roll-out's state."""
+"""Calls to the store: few routers read the list, one writes the state of a roll-out."""
 
 from umberhitch.core.direct import RolloutState
 from umberhitch.fakes import StoreFaults
@@ -6,9 +6,9 @@
 from umberhitch.testing import DirectWorld, make_direct_document
 
 MANY = 68
-"""Entry hosts of a large deployment."""
+"""Routers of a large deployment."""
 READERS = 3
-"""One for 32 routers."""
+"""One reader per 32 routers."""
 
 
 def _world(routers: int = MANY, seconds: float = 8.0) -> DirectWorld:
@@ -21,30 +21,30 @@
     return world
 
 
-def _lists(world: DirectWorld) -> int:
+def _list_reads(world: DirectWorld) -> int:
     return sum(router.members.lists for router in world.routers.values())
 
 
-def _known(world: DirectWorld) -> set[int]:
+def _known_counts(world: DirectWorld) -> set[int]:
     return {len(router.peers.peer_names()) for router in world.routers.values()}
 
 
-def test_all_find_each_other_and_few_read_the_list():
+def test_all_routers_find_each_other_and_few_read_the_list():
     world = _world()
-    assert _known(world) == {MANY - 1}
-    assert _lists(world) <= 2 * MANY  # nobody knows a reader at first
+    assert _known_counts(world) == {MANY - 1}
+    assert _list_reads(world) <= 2 * MANY  # no router knows a reader at first
 
 
-def test_of_a_router_that_comes_few_read():
+def test_few_routers_read_the_list_when_one_joins():
     world = _world()
-    before = _lists(world)
+    before = _list_reads(world)
     world.add_router("r99")
     world.run(4.0)
-    assert _known(world) == {MANY}
-    assert _lists(world) - before <= 2 * READERS + 1  # its own, and each reader's
+    assert _known_counts(world) == {MANY}
+    assert _list_reads(world) - before <= 2 * READERS + 1  # its own read, and one by each reader
 
 
-def test_routers_that_the_reader_cannot_tell_read_the_list_themselves():
+def test_routers_without_an_answer_from_the_reader_read_the_list_themselves():
     world = _world(6)
     reader = world.routers["r00"]
     reader.faults.is_down = True
@@ -54,16 +54,16 @@
     assert set(known.values()) == {6}
 
 
-def test_a_group_that_the_store_began_anew_is_followed():
-    """The generation counts from the start again."""
+def test_a_group_that_the_store_has_reset_is_followed():
+    """The store resets the group, and the generation restarts from a small number."""
     world = _world(4)
     world.members.generation = 1
     world.add_router("r99")
     world.run(4.0)
-    assert _known(world) == {4}
+    assert _known_counts(world) == {4}
 
 
-def test_a_seat_is_kept_while_its_router_lives():
+def test_a_membership_is_renewed_while_its_router_runs():
     world = DirectWorld()
     world.add_endpoint("e1")
     router = world.ready_router()
@@ -78,7 +78,8 @@
 
 
 def test_one_of_many_routers_writes_the_state_of_a_roll_out():
-    """Each read it twice at the beginning and at the end: 300 calls among 68 routers."""
+    """Guards against reads by every router, twice at the start and twice at the end: 300 calls
+    among 68 routers."""
     world = _world()
     world.add_endpoint("n1", "v2")
     world.run(1.2)
@@ -104,7 +105,7 @@
     assert [state for _, _, state in world.statuses] == [RolloutState.IN_PROGRESS]
 
 
-def test_a_router_that_starts_in_a_roll_out_reads_what_stands_once_at_most():
+def test_a_router_that_starts_during_a_roll_out_reads_its_state_at_most_once():
     world = _world(6)
     world.add_endpoint("n1", "v2")
     world.run(1.2)
@@ -112,5 +113,5 @@
     world.run(3.0)
     late = world.add_router("late")
     world.run(3.0)
-    assert late.statuses.calls <= 1  # the others hear of it some seconds later
+    assert late.statuses.calls <= 1  # the others receive its report some seconds later
     assert late.trials._states.is_earlier_decision_known("svc")
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -48,11 +48,11 @@
             reply = replace(reply, age_s=0.0)
         return judge(self, reply, called_s, offset)
 
-    patch.setattr(SharedView, "_judge", as_if_fresh)
+    patch.setattr(SharedView, "_evaluate_reply", as_if_fresh)
 
 
 def keep_drains_to_oneself(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SharedView, "_note_changes", lambda self, batch, is_whole, was_away: None)
+    patch.setattr(SharedView, "_record_changes", lambda self, batch, is_snapshot, was_away: None)
 
 
 def pass_on_pieces_of_events(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/tests/test_peers.py
+++ b/umberhitch/tasks/direct/tests/test_peers.py
@@ -1,7 +1,7 @@
-"""What routers tell each other: all at once where they are few, less across zones where many.
+"""The reports between routers: to all peers if there are few, fewer across zones if there are many.
 
-Answers the pattern of 32 routers in 3 zones, where what they tell each other and the bodies of
-calls are the bytes between zones, which are paid for.
+With 32 routers in 3 zones, these reports and the bodies of calls are the bytes between zones, which
+are charged for.
 """
 
 from umberhitch.testing import DirectWorld, make_direct_document
@@ -9,7 +9,7 @@
 
 
 def _reports(count: int, is_rolling_out: bool = False) -> tuple[int, int]:
-    """Return how many reports a router got from a peer in its zone and from one in another."""
+    """Return how many reports a router received from a peer in its zone and from one in another."""
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
@@ -21,12 +21,12 @@
         world.run(1.0)
     got = {"r2": 0, "r1": 0}
     peers = world.routers["r0"].peers
-    take = peers._handle_report
+    handle = peers._handle_report
 
     def count_report(report: PeerReport) -> None:
         if report.router in got:
             got[report.router] += 1
-        take(report)
+        handle(report)
 
     peers._handle_report = count_report
     world.run(12.0)
@@ -34,23 +34,23 @@
     return got["r2"], got["r1"]
 
 
-def test_few_routers_tell_each_other_all_wherever_they_are():
-    near, far = _reports(4)
-    assert near == far >= 40
+def test_few_routers_send_every_report_to_all_zones():
+    local, remote = _reports(4)
+    assert local == remote >= 40
 
 
-def test_many_routers_tell_those_in_other_zones_less_and_are_still_known():
-    near, far = _reports(12)
-    assert 3.0 * far <= near <= 5.0 * far
+def test_many_routers_send_fewer_reports_to_other_zones_and_are_still_known():
+    local, remote = _reports(12)
+    assert 3.0 * remote <= local <= 5.0 * remote
 
 
-def test_during_a_roll_out_evidence_reaches_every_zone_at_full_pace():
-    near, far = _reports(12, is_rolling_out=True)
-    assert abs(near - far) <= 2
+def test_during_a_roll_out_every_report_goes_to_all_zones():
+    local, remote = _reports(12, is_rolling_out=True)
+    assert abs(local - remote) <= 2
 
 
-def test_what_many_peers_have_under_way_counts_between_their_reports():
-    """With 68 routers each reported every 2.1 s and counted for 2.0 s."""
+def test_the_reports_of_many_peers_count_until_the_next_ones():
+    """Guards against reports that count for 2.0 s while 68 routers each report every 2.1 s."""
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
--- a/umberhitch/tasks/direct/tests/test_seats.py
+++ b/umberhitch/tasks/direct/tests/test_seats.py
@@ -1,8 +1,8 @@
-"""Routers beyond the seats of the store's group share what holds for all together as well.
+"""Routers beyond the seats of the store's group keep the limits that apply to all routers together.
 
-Seen: with 40 routers and 10 seats an endpoint that named 2 a second got 28 in 4 s from 14 routers,
-17 allowed. Cause: the store takes a router's join that has no seat for it; the router counts itself
-among the listed ones, and the others do not know of it.
+With 40 routers and 10 seats, an endpoint with a limit of 2 requests a second received 28 in 4 s
+from 14 routers, where 17 were allowed. The store accepts a join for which it has no seat; the
+router counts itself among the listed ones, and the others do not know of it.
 """
 
 from umberhitch.tasks.direct.tests import test_named_limits as limits
@@ -17,6 +17,6 @@
         each.reply.delay_s = 0.5
     world.run(limits.SETTLED_S)
     limits._crowd(world, 3.0, 200.0)
-    told_s = world.clock.seconds()
+    limited_s = world.clock.seconds()
     limits._crowd(world, 12.0, 200.0)
-    limits._assert_kept(world, endpoints[0], 2.0, told_s)
+    limits._assert_kept(world, endpoints[0], 2.0, limited_s)
--- a/umberhitch/tasks/direct/tests/test_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""One router reads the store for the others, and what becomes of that when things fail."""
+"""One router reads the store for the others, also when routers, links or the store fail."""
 
 from umberhitch.core.direct import EndpointState
 from umberhitch.testing import (
@@ -18,9 +18,9 @@
     world.operator.put("config", make_direct_document(1))
     for name in ("e1", "e2"):
         world.add_endpoint(name)
-    found = [world.add_router(f"r{number}") for number in range(routers)]
+    added = [world.add_router(f"r{number}") for number in range(routers)]
     world.run(5.0)
-    return world, found
+    return world, added
 
 
 def _calls(routers: list[DirectRouter]) -> int:
@@ -31,15 +31,15 @@
     world.registry.put(name, make_endpoint_entry(name, state=EndpointState.DRAINING))
 
 
-def _ask(world: DirectWorld, router: DirectRouter, path: str) -> int | None:
-    found = world.ask(router, path)
+def _status(world: DirectWorld, router: DirectRouter, path: str) -> int | None:
+    req = world.ask(router, path)
     world.run(0.05)
-    return found.status
+    return req.status
 
 
-def test_calls_to_the_store_do_not_grow_with_the_routers():
-    """29 routers made 100 calls a second, a tenth of what their users' answers are worth
-    (Cedarline grown, trouble-2)."""
+def test_calls_to_the_store_do_not_grow_with_the_number_of_routers():
+    """Guards against calls to the store in proportion to the routers: 29 routers made 100 a second,
+    which cost a tenth of what their users' answers are worth."""
     made = []
     for count in (1, 4, 12):
         world, routers = _world(count)
@@ -51,35 +51,35 @@
     assert made[2] < 1.2 * made[1]
 
 
-def test_a_change_is_in_force_at_once_at_those_who_do_not_read():
+def test_a_change_is_in_force_at_once_at_routers_that_do_not_read():
     world, routers = _world()
     world.operator.put("config", make_direct_document(2, routes=NEW))
     world.run(0.1)
-    assert [_ask(world, router, "/new/x") for router in routers] == [200] * 4
+    assert [_status(world, router, "/new/x") for router in routers] == [200] * 4
 
 
-def test_an_endpoint_that_leaves_is_known_in_time_to_those_who_do_not_read():
+def test_a_draining_endpoint_is_known_in_time_to_routers_that_do_not_read():
     world, routers = _world()
     _drain(world, "e1")
     world.run(0.6)
     before = len(world.endpoints.by_address["@e1"].calls)
     for router in routers:
-        assert _ask(world, router, "/look/x") == 200
+        assert _status(world, router, "/look/x") == 200
     assert len(world.endpoints.by_address["@e1"].calls) == before
 
 
-def test_a_reader_that_freezes_holds_up_no_drain_and_no_configuration():
+def test_a_frozen_reader_delays_no_drain_and_no_configuration():
     world, routers = _world()
     routers[0].clock.is_paused = True
     _drain(world, "e1")
     world.operator.put("config", make_direct_document(2, routes=NEW))
     world.run(1.9)
     before = len(world.endpoints.by_address["@e1"].calls)
-    assert [_ask(world, router, "/new/x") for router in routers[1:]] == [200] * 3
+    assert [_status(world, router, "/new/x") for router in routers[1:]] == [200] * 3
     assert len(world.endpoints.by_address["@e1"].calls) == before
 
 
-def test_a_reader_that_is_cut_off_from_the_others_is_not_waited_for():
+def test_a_partitioned_reader_is_not_waited_for():
     world, routers = _world()
     for number in (1, 2, 3):
         world.network.cut("r0", f"r{number}")
@@ -87,34 +87,35 @@
     world.run(1.9)
     before = len(world.endpoints.by_address["@e1"].calls)
     for router in routers:
-        assert _ask(world, router, "/look/x") == 200
+        assert _status(world, router, "/look/x") == 200
     assert len(world.endpoints.by_address["@e1"].calls) == before
 
 
-def test_a_router_that_the_store_turns_away_goes_on_by_what_others_read():
-    """The store served three of four; the first, which reads for all, was turned away."""
+def test_a_router_that_the_store_refuses_serves_from_what_others_read():
+    """The store serves three of four routers; the first, which reads for all, is refused."""
     world, routers = _world()
     routers[0].faults.is_down = True
     world.run(8.0)
-    assert [_ask(world, router, "/look/x") for router in routers] == [200] * 4
+    assert [_status(world, router, "/look/x") for router in routers] == [200] * 4
 
 
-def test_without_the_store_nobody_proves_anything_to_anyone():
-    """Every router asks others, which ask others; no answer makes a view any newer than it is."""
+def test_without_the_store_no_router_proves_freshness_to_another():
+    """Every router sends requests to others, which do the same; no reply makes a view newer than it
+    is."""
     world, routers = _world()
     for router in routers:
         router.faults.is_down = True
     world.operator.put("config", make_direct_document(2, keys=()))
     world.run(5.2)
-    assert [_ask(world, router, "/look/x") for router in routers] == [503] * 4
+    assert [_status(world, router, "/look/x") for router in routers] == [503] * 4
     for router in routers:
         router.faults.is_down = False
     world.run(1.5)
-    assert [_ask(world, router, "/look/x") for router in routers] == [401] * 4
+    assert [_status(world, router, "/look/x") for router in routers] == [401] * 4
 
 
-def test_a_late_answer_proves_nothing_about_the_time_since():
-    """All that the reader says is held up for 3 s; meanwhile a key is taken away."""
+def test_a_late_reply_proves_no_freshness_for_the_time_since():
+    """All messages of the reader are delayed by 3 s; meanwhile, a key is revoked."""
     world, routers = _world(2)
     late = routers[1]
     late.faults.is_down = True
@@ -127,19 +128,19 @@
     assert age_s > 4.0 or late.gateway.table.document.number == 2
 
 
-def test_a_router_that_starts_again_takes_no_answer_to_its_earlier_life():
+def test_a_restarted_router_ignores_replies_to_its_earlier_incarnation():
     _, routers = _world(2)
     sharing = routers[1].peers._sharing
-    found = []
-    sharing.request_changes("nobody", "operator", 0, 1.0, 0.1).addCallback(found.append)
+    replies = []
+    sharing.request_changes("nobody", "operator", 0, 1.0, 0.1).addCallback(replies.append)
     number = sharing._last_request_id
     sharing.receive("r0", ViewReply(number, 0, True, 9))
-    assert found == []
+    assert replies == []
     sharing.receive("r0", ViewReply(number, 1, True, 9))
-    assert [reply.end for reply in found] == [9]
+    assert [reply.end for reply in replies] == [9]
 
 
-def test_who_asks_for_more_than_is_kept_is_told_so_at_once():
+def test_a_request_from_before_the_kept_changes_is_answered_at_once():
     world, routers = _world(1)
     view = routers[0].peers._sharing.handlers["registry"]
     sent = []
@@ -148,23 +149,25 @@
     assert sent == [("r9", ViewReply(1, 1, False))]
     view.handle_request("r9", ViewRequest(2, 1, "registry", 99, 0.5))
     world.run(0.6)
-    assert sent[1][1].is_offset_known
+    assert sent[1][1].is_known
     assert sent[1][1].held_s >= 0.5
 
 
-def test_a_reader_that_cannot_tell_is_not_asked_again_for_a_while():
+def test_a_reader_without_changes_to_offer_is_excluded_for_a_while():
     world, routers = _world(3)
     routers[0].faults.is_down = True
     world.run(4.0)
     first = _calls(routers[2:])
     world.run(10.0)
-    # The second reads now; the third asks it, and makes a call of its own only now and then.
+    # The second router reads now; the third sends it requests, and calls the store only
+    # occasionally.
     assert _calls(routers[2:]) - first < 2 * 10.0
     assert routers[2].gateway.view.proof_age_s(world.clock.seconds()) < 2.0
 
 
 def test_an_outage_of_the_store_does_not_multiply_the_calls():
-    """29 routers called it 350 times a second while it was away (Cedarline grown, trouble-2)."""
+    """Guards against more calls while the store is unavailable: 29 routers called it 350 times a
+    second."""
     world, routers = _world(12)
     for router in routers:
         router.faults.is_down = True
@@ -175,12 +178,12 @@
     for router in routers:
         router.faults.is_down = False
     world.run(0.5)
-    assert [_ask(world, router, "/look/x") for router in routers] == [200] * 12
+    assert [_status(world, router, "/look/x") for router in routers] == [200] * 12
 
 
-def test_a_reader_that_the_store_turns_away_leaves_it_alone_and_the_others_ask_the_next_one():
-    """Those who asked it waited 0.5 s, then called the store, each, and came back to it each 2 s; a
-    change was in force after up to 1.75 s."""
+def test_a_reader_that_the_store_refuses_backs_off_and_the_others_use_the_next_one():
+    """Guards against peers that wait 0.5 s for the refused reader, then each call the store, and
+    return to this reader every 2 s: a change was in force after up to 1.75 s."""
     world, routers = _world(40)
     routers[0].faults.is_down = True
     world.run(3.0)
@@ -191,8 +194,8 @@
     assert max(ages) < 2.0
 
 
-def test_all_know_at_once_that_the_store_is_back():
-    """Asks that were held until there is something new were held on, up to 0.5 s."""
+def test_all_routers_know_at_once_that_the_store_has_recovered():
+    """Guards against requests that remain held for up to 0.5 s after the store has recovered."""
     world, routers = _world(12)
     for router in routers:
         router.faults.is_down = True
--- a/umberhitch/tasks/direct/tests/test_store.py
+++ b/umberhitch/tasks/direct/tests/test_store.py
@@ -1,10 +1,10 @@
-"""What a router of the direct path takes from the store, and what it does without it."""
+"""How a router of the direct path applies records of the store, and behaves without the store."""
 
 from umberhitch.fakes import Reply
 from umberhitch.testing import DirectWorld, make_direct_document, make_route
 
 
-def test_a_new_document_replaces_the_older_whole_and_never_goes_back():
+def test_a_new_document_replaces_the_older_and_is_never_replaced_by_an_older():
     world = DirectWorld()
     world.add_endpoint("e1")
     router = world.ready_router(make_direct_document(5))
@@ -14,12 +14,12 @@
     world.operator.put("config", make_direct_document(6))
     world.run(2.0)
     assert world.ask(router, "/look/x").status == 404
-    ask = world.ask(router, "/new/x")
+    req = world.ask(router, "/new/x")
     world.run(0.1)
-    assert ask.status == 200
+    assert req.status == 200
 
 
-def test_a_key_that_was_taken_away_has_no_effect_soon():
+def test_a_revoked_key_is_refused_soon():
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     router = world.ready_router(make_direct_document(1, keys=("key-1", "key-2")))
@@ -29,7 +29,7 @@
     assert endpoint.calls == []
 
 
-def test_without_proof_that_the_keys_are_the_newest_requests_with_keys_wait():
+def test_without_proof_that_the_keys_are_the_newest_requests_with_keys_are_refused():
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     document = make_direct_document(routes=(make_route("look"), make_route("open", is_public=True)))
@@ -47,13 +47,14 @@
     assert len(endpoint.calls) == 2
     router.faults.is_down = False
     world.run(1.0)
-    again = world.ask(router, "/look/x")
+    retry = world.ask(router, "/look/x")
     world.run(0.1)
-    assert again.status == 200
+    assert retry.status == 200
 
 
-def test_where_keys_need_not_be_proved_the_last_known_serve_while_the_store_is_away():
-    """Four seconds of all requests were refused while the store was away for 8 s."""
+def test_without_strict_revocation_the_last_known_keys_serve_while_the_store_is_unavailable():
+    """Guards against refusals while the store is unavailable: all requests were refused for 4 s of
+    an outage of 8 s."""
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
@@ -66,11 +67,11 @@
     unknown_route = world.ask(router, "/new/x")
     world.run(0.1)
     assert known.status == 200
-    # Key and route may have come meanwhile: a refusal that is final would not be true.
+    # Key and route may have been added meanwhile: a final refusal could be wrong.
     assert (unknown_key.status, unknown_route.status) == (503, 503)
 
 
-def test_where_keys_need_not_be_proved_one_that_was_taken_away_has_no_effect_soon():
+def test_without_strict_revocation_a_revoked_key_is_refused_soon():
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document(1, keys=("key-1", "key-2")))
@@ -81,8 +82,8 @@
     assert world.ask(router, "/look/x", key="key-1").status == 401
 
 
-def test_a_frozen_router_that_wakes_does_not_trust_its_old_proof():
-    """The request came while the process stood still, and is read when it wakes."""
+def test_a_router_that_resumes_after_a_freeze_does_not_trust_its_old_proof():
+    """The request arrived while the process was frozen, and is read when it resumes."""
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     router = world.ready_router(make_direct_document(1))
@@ -91,16 +92,16 @@
     world.run(8.0)
     router.faults.delay_s = 0.01
     router.clock.resume()
-    ask = world.ask(router, "/look/x")
-    assert ask.status is None
+    req = world.ask(router, "/look/x")
+    assert req.status is None
     world.run(0.1)
-    assert ask.status == 401
+    assert req.status == 401
     assert endpoint.calls == []
 
 
-def test_a_frozen_router_that_wakes_serves_what_waited_for_it():
-    """430 were refused in the first ms after two freezes, while the store was asked (own day
-    reader-lost, Cedarline)."""
+def test_a_router_that_resumes_after_a_freeze_serves_the_waiting_requests():
+    """Guards against refusals in the first milliseconds after a freeze, before the store has
+    answered: there were 430 of them after two freezes."""
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
@@ -111,16 +112,16 @@
         world.run(6.0)
         router.faults.delay_s = 0.01
         router.clock.resume()
-        asks = [world.ask(router, "/look/x") for _ in range(3)]
-        gone = world.ask(router, "/look/x")
-        gone.leave()
-        assert [each.status for each in asks] == [None] * 3
+        requests = [world.ask(router, "/look/x") for _ in range(3)]
+        cancelled = world.ask(router, "/look/x")
+        cancelled.leave()
+        assert [each.status for each in requests] == [None] * 3
         world.run(0.1)
-        assert [each.status for each in asks] == [200] * 3
-        assert gone.status is None
+        assert [each.status for each in requests] == [200] * 3
+        assert cancelled.status is None
 
 
-def test_entries_that_lapsed_while_the_store_was_away_may_return():
+def test_entries_that_lapsed_while_the_store_was_unavailable_may_return():
     world = DirectWorld()
     world.add_endpoint("e1")
     router = world.ready_router()
@@ -129,18 +130,18 @@
     world.registry.put("e1", None)
     router.faults.is_down = False
     world.run(1.0)
-    kept = world.ask(router, "/look/x")
+    before_grace = world.ask(router, "/look/x")
     world.run(0.1)
-    assert kept.status == 200
+    assert before_grace.status == 200
     world.run(3.0)
     assert world.ask(router, "/look/x").status == 503
 
 
-def test_an_entry_that_goes_soon_after_the_store_came_back_is_gone_in_time():
-    """It was kept as if it had lapsed, and the endpoint got a call 2.2 s after it had left
-    (hunt-9397-27, registry)."""
+def test_an_entry_removed_soon_after_the_store_recovered_is_removed_in_time():
+    """Guards against treating the entry as lapsed, which let a call reach the endpoint 2.2 s after
+    it was deregistered."""
     world = DirectWorld()
-    leaving = world.add_endpoint("e1")
+    endpoint = world.add_endpoint("e1")
     world.add_endpoint("e2")
     router = world.ready_router()
     router.faults.is_down = True
@@ -149,14 +150,14 @@
     world.run(1.0)
     world.registry.put("e1", None)
     world.run(1.99)
-    before = len(leaving.calls)
+    before = len(endpoint.calls)
     for _ in range(20):
         world.ask(router, "/look/x")
         world.run(0.05)
-    assert len(leaving.calls) == before
+    assert len(endpoint.calls) == before
 
 
-def test_an_entry_that_goes_while_the_store_is_there_is_gone():
+def test_an_entry_removed_while_the_store_is_available_is_removed():
     world = DirectWorld()
     world.add_endpoint("e1")
     router = world.ready_router()
@@ -165,7 +166,7 @@
     assert world.ask(router, "/look/x").status == 503
 
 
-def test_a_router_catches_up_when_the_stores_history_is_gone():
+def test_a_router_catches_up_when_the_stores_history_is_trimmed():
     world = DirectWorld()
     world.add_endpoint("e1")
     router = world.ready_router()
@@ -176,28 +177,29 @@
     world.registry.forget_history()
     router.faults.is_down = False
     world.run(1.5)
-    ask = world.ask(router, "/new/x")
+    req = world.ask(router, "/new/x")
     world.run(0.1)
-    assert ask.status == 200
+    assert req.status == 200
 
 
-def test_a_leaving_router_fails_its_readiness_first_and_answers_what_it_has_read():
+def test_a_draining_router_fails_its_readiness_first_and_answers_what_it_has_read():
     world = DirectWorld()
     world.add_endpoint("e1")
     router = world.ready_router()
     noticed, done = [], []
     router.gateway.leave(lambda: noticed.append(True), lambda: done.append(True))
     assert not router.gateway.is_ready
-    ask = world.ask(router, "/look/x")
+    req = world.ask(router, "/look/x")
     world.run(1.0)
-    assert ask.status == 200
+    assert req.status == 200
     assert (noticed, done) == ([], [])
     world.run(2.0)
     assert (noticed, done) == ([True], [True])
 
 
-def test_a_stream_that_comes_too_late_to_end_is_refused_and_sent_elsewhere():
-    """It was once taken, and cut 0.2 s later when the time was up (registry, trouble-2)."""
+def test_a_stream_that_arrives_too_late_to_finish_is_refused_with_an_immediate_retry():
+    """Guards against accepting a stream during the drain that is cut off 0.2 s later at the
+    deadline."""
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     endpoint.replies = [Reply(events=80)]
@@ -207,19 +209,19 @@
     router.gateway.leave(lambda: None, lambda: done.append(True))
     world.run(2.7)
     late = world.ask(router, "/draft/x")
-    plain = world.ask(router, "/look/x")
+    unary = world.ask(router, "/look/x")
     assert (late.status, late.reply.headers[b"Come-Back"]) == (503, b"0.100")
     assert len(endpoint.calls) == 2
     assert done == []
     world.run(3.0)
     assert running.reply.is_complete
-    assert plain.status == 200
+    assert unary.status == 200
     assert done == [True]
 
 
-def test_a_call_that_the_store_held_proves_up_to_its_end():
-    """The proof was once as old as two waits, and callers were refused 2.4 s after an outage began
-    (registry, trouble-3, seconds 20 and 21)."""
+def test_a_call_that_the_store_held_proves_freshness_up_to_its_end():
+    """Guards against a proof as old as two waits, which refused callers 2.4 s after an outage of
+    the store began."""
     world = DirectWorld()
     router = world.ready_router()
     ages = []
@@ -229,7 +231,7 @@
     assert max(ages) < 1.85
 
 
-def test_a_call_that_was_not_held_proves_only_what_stood_when_it_was_sent():
+def test_a_call_that_was_not_held_proves_freshness_only_up_to_its_start():
     world = DirectWorld()
     router = world.ready_router()
     router.faults.holds = False
@@ -242,32 +244,32 @@
     assert router.gateway.view.proof_age_s(world.clock.seconds()) >= 0.4
 
 
-def _leave(world: DirectWorld, name: str) -> None:
+def _drain(world: DirectWorld, name: str) -> None:
     world.routers[name].gateway.leave(lambda: None, lambda: None)
 
 
-def test_streams_refused_while_all_routers_leave_are_told_when_the_first_is_back():
-    """Three routers restarted 2 s apart refused 61 requests of six days a second time, as they had
-    been told to come back at once (trouble-2, Tuul)."""
+def test_streams_refused_while_all_routers_drain_retry_when_the_first_is_available():
+    """Guards against an immediate retry while no router accepts streams: three routers that
+    restarted 2 s apart refused 61 requests of six days a second time."""
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
     for name in ("r1", "r2"):
         world.add_router(name)
     world.run(3.0)
-    _leave(world, "r1")
+    _drain(world, "r1")
     world.run(3.0)
     other_takes = world.ask(world.routers["r1"], "/draft/x")
     assert other_takes.reply.headers.get(b"Come-Back") == b"0.100"
-    _leave(world, "r2")
+    _drain(world, "r2")
     world.run(3.0)
     none_takes = world.ask(world.routers["r2"], "/draft/x")
     assert none_takes.status == 503
-    # r1 began to leave 6 s ago, may take 8 s for it, and 0.7 s to start.
+    # r1 began to drain 6 s ago, may take 8 s to drain, and 0.7 s to start.
     assert 2.4 <= float(none_takes.reply.headers[b"Come-Back"]) <= 2.8
 
 
-def test_a_router_that_has_just_started_is_not_reached_before_the_balancer_looks():
+def test_a_router_that_has_just_started_is_not_available_before_the_balancer_checks():
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
@@ -279,7 +281,7 @@
     assert router.gateway.presence.available_in_s() == 0.0
 
 
-def test_a_peer_that_did_not_come_back_when_it_said_is_not_waited_for():
+def test_a_peer_that_did_not_return_in_time_is_not_waited_for():
     world = DirectWorld()
     world.add_endpoint("e1")
     world.operator.put("config", make_direct_document())
@@ -287,7 +289,7 @@
         world.add_router(name)
     world.run(3.0)
     alone = world.routers["r2"].peers
-    _leave(world, "r1")
+    _drain(world, "r1")
     world.run(1.0)
     lost = world.routers["r1"]
     lost.peers.stop()
@@ -300,8 +302,8 @@
     assert alone._last_reports == {}
 
 
-def test_a_feed_that_ends_by_an_error_begins_anew():
-    """A router whose feed had ended served by the configuration that it had, for ever."""
+def test_a_feed_that_fails_with_an_exception_restarts():
+    """Guards against a feed that ends for good, so that the router serves an old configuration."""
     world = DirectWorld()
     router = world.ready_router()
     view = router.gateway.view
@@ -319,9 +321,9 @@
     assert view.table.document.number == 3
 
 
-def test_while_a_router_starts_without_the_store_callers_come_back_as_late_as_they_can():
-    """All routers were restarted while the store was away for 2 s more: callers who came back after
-    0.5 s were refused again, and came no more."""
+def test_while_a_router_starts_without_the_store_callers_retry_as_late_as_they_can():
+    """Guards against a retry time that is too short while all routers start without the store, here
+    for 2 s more: callers that retried after 0.5 s were refused again, and gave up."""
     world = DirectWorld()
     router = world.add_router()
     router.faults.is_down = True
@@ -332,7 +334,7 @@
     assert short.reply.headers[b"Come-Back"] == b"0.500"
 
 
-def test_while_a_store_that_answers_is_read_callers_come_back_soon():
+def test_while_a_store_that_answers_is_read_callers_retry_soon():
     world = DirectWorld()
     router = world.add_router()
     world.run(3.0)
--- a/umberhitch/tasks/direct/tests/test_stored_holds.py
+++ b/umberhitch/tasks/direct/tests/test_stored_holds.py
@@ -1,7 +1,8 @@
-"""Routers that all lose power while a request is held: those that come after them know it.
+"""A request stays held when all routers lose power and others start.
 
-Its callers go on; without a word in the store it took three endpoints more each time. Two reads for
-all routers that start, and one write for each step of a request that is held.
+Its callers go on to send it; without a record in the store, it crashed three more endpoints after
+each power loss. Two routers read the records at start, and each step of a held request is written
+once.
 """
 
 from umberhitch.fakes import Reply
@@ -16,7 +17,7 @@
     return [fleet.world.add_router(f"n{number}") for number in range(fleet.routers)]
 
 
-def test_new_routers_hold_what_was_held():
+def test_new_routers_restore_the_held_requests():
     fleet = CrashingFleet(reply=STREAM)
     fleet.every(0.4, 5.0, lambda n: fleet.ask(n, "/draft/x"))
     fleet.world.run(6.0)
@@ -30,7 +31,7 @@
     assert fleet.late_sends(3.0) <= 3
 
 
-def test_the_store_is_read_by_two_and_written_at_each_step():
+def test_two_routers_read_the_store_and_each_step_is_written_once():
     fleet = CrashingFleet(routers=8, reply=STREAM)
     assert sum(each.holds_port.calls for each in fleet.all_routers) == 2
     fleet.every(0.4, 5.0, lambda n: fleet.ask(n, "/draft/x"))
@@ -43,7 +44,7 @@
     assert sum(each.holds_port.calls for each in fleet.all_routers) == 2 + 3
 
 
-def test_what_is_free_again_is_taken_out():
+def test_a_released_request_is_removed_from_the_store():
     fleet = CrashingFleet(reply=STREAM)
     fleet.every(0.4, 2.0, lambda n: fleet.ask(n, "/draft/x"))
     fleet.world.run(3.0)
@@ -53,7 +54,7 @@
     assert fleet.world.held == {}
 
 
-def test_it_is_written_when_the_store_is_back():
+def test_a_held_request_is_written_when_the_store_has_recovered():
     fleet = CrashingFleet(reply=STREAM)
     for router in fleet.all_routers:
         router.faults.is_down = True
@@ -66,7 +67,7 @@
     assert len(fleet.world.held) == 1
 
 
-def test_a_router_that_cannot_read_goes_on_trying():
+def test_a_router_that_cannot_read_the_store_retries():
     fleet = CrashingFleet(routers=1, reply=STREAM)
     fleet.every(0.4, 5.0, lambda n: fleet.ask(n, "/draft/x"))
     fleet.world.run(6.0)
--- a/umberhitch/tasks/direct/tests/test_word_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_word_mutations.py
@@ -65,19 +65,19 @@
 
 
 def nobody_is_told(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SignalSharing, "has_left", lambda self, lifetime: None)
-    patch.setattr(SignalSharing, "news_again", lambda self: [])
+    patch.setattr(SignalSharing, "note_draining", lambda self, lifetime: None)
+    patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
     return words.test_peers_stop_sooner_and_who_lost_the_word_within_seconds
 
 
 def nobody_is_told_again(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SignalSharing, "news_again", lambda self: [])
+    patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
     return words.test_peers_stop_sooner_and_who_lost_the_word_within_seconds
 
 
 def new_routers_are_not_told(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SignalSharing, "all_news", lambda self: [])
-    patch.setattr(SignalSharing, "news_again", lambda self: [])
+    patch.setattr(SignalSharing, "all_updates", lambda self: [])
+    patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
     return words.test_a_router_that_starts_is_told
 
 
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -42,7 +42,9 @@
 
 
 def whole_reads_mean_nothing(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(StoreView, "_take_all_orders", lambda s, batch: s._take_orders(batch, False))
+    patch.setattr(
+        StoreView, "_apply_order_snapshot", lambda s, batch: s._apply_orders(batch, False)
+    )
     return zones.test_a_record_that_is_gone_without_a_trace_means_back
 
 
@@ -57,12 +59,12 @@
 
 
 def all_are_settled_at_once(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Membership, "is_settled", lambda self: self._joined_s is not None)
+    patch.setattr(Membership, "is_known_to_peers", lambda self: self._joined_s is not None)
     return cold.test_after_the_loss_of_all_routers_the_bound_is_kept
 
 
 def seats_last_for_ever(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Membership, "is_settled", lambda self: True)
+    patch.setattr(Membership, "is_known_to_peers", lambda self: True)
     return cold.test_a_router_whose_seat_has_run_out_sends_nothing_to_a_cold_endpoint
 
 
