--- a/benchmarks/_pending.py
+++ b/benchmarks/_pending.py
@@ -9,7 +9,7 @@
 
 from benchmarks._processes import PAGE_BYTES
 from umberhitch.fakes import FakeLog, FakeNetwork, LogFaults, MemoryLog
-from umberhitch.tasks.bills import BillWriter
+from umberhitch.tasks.usage_writer import UsageWriter
 from umberhitch.wire import Usage, UsageRecord
 
 
@@ -20,7 +20,7 @@
     clock = Clock()
     port = FakeLog(MemoryLog(), clock, LogFaults(is_down=True))
     link = FakeNetwork(clock, Random(1)).link("r1")
-    bills = BillWriter(port, clock, Random(1), link)
+    bills = UsageWriter(port, clock, Random(1), link)
     for index in range(count):
         usage = Usage(500, 200, 100)
         record = UsageRecord(
--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from umberhitch.fakes import Reply
-from umberhitch.tasks.direct.exchange import HELD
+from umberhitch.tasks.direct.proxied_request import HELD
 from umberhitch.testing import CrashingFleet, DirectAsk
 from umberhitch.wire import CrashUpdate, Message
 
--- a/benchmarks/decide.py
+++ b/benchmarks/decide.py
@@ -37,7 +37,7 @@
     for index, host in enumerate(hosts):
         target = f"m@{index % VERSIONS}"
         running = rng.randrange(8)
-        fleet.hear(
+        fleet.handle_heartbeat(
             Heartbeat(host.name, 1, host.zone, [target], EndpointState.READY, 0, running, 0, 8)
         )
     return fleet
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -65,7 +65,7 @@
     world.lose_router("r1")
     where = parse_locator(record.locators[-1])
     assert where is not None
-    fetched = ensureDeferred(world.routers["r2"].resume.fetch(where, "acme", 0))
+    fetched = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(where, "acme", 0))
     return until(world, lambda: fetched.called and record.request in world.bills().records)
 
 
@@ -130,7 +130,7 @@
     offer(world, 1.0)
     began_s = world.clock.seconds()
     change = make_state_change("c2", "m@1", VersionState.WITHDRAWN)
-    world.routers["r1"].change(change)
+    world.routers["r1"].submit_change(change)
     offer(world, 3.0)
     runs = [run.began_s for engine in world.all_engines() for run in engine.runs]
     return max(0.0, max(runs) - began_s)
--- a/umberhitch/adapters/caller_api.py
+++ b/umberhitch/adapters/caller_api.py
@@ -23,7 +23,7 @@
 from umberhitch.core.selection import choose_version, permitted_versions
 from umberhitch.core.session import Session, read_session_token, sign_session_token
 from umberhitch.errors import ConfigError, SessionError
-from umberhitch.tasks.asks import Ask
+from umberhitch.tasks.request_state import CallerRequest
 from umberhitch.tasks.resume import parse_locator
 from umberhitch.tasks.router import Router
 from umberhitch.wire import EngineWork, ServiceWork
@@ -168,23 +168,25 @@
             request.setHeader(HEADER_REPLAYED, "true")
         return send_json(request, 200, chat_answer(outcome, reply.request_id, reply.created_s))
 
-    def _chat_ask(self, request: Any, customer: Customer, body: ChatBody, request_id: str) -> Ask:
+    def _chat_ask(
+        self, request: Any, customer: Customer, body: ChatBody, request_id: str
+    ) -> CallerRequest:
         klass = self._class_for(request, DEFAULT_CLASS)
         session, token = self._session(request)
         work = EngineWork(
             body.messages, body.token_limit, body.temperature, _prefix_of(body.messages)
         )
-        return Ask(
-            request=request_id,
+        return CallerRequest(
+            request_id=request_id,
             customer=customer,
             klass=klass,
             spec=body.model,
             work=work,
-            deadline_s=self._deadline_s(request, klass),
+            timeout_s=self._deadline_s(request, klass),
             is_repeatable=klass.repeatable,
             session=session,
             session_token=token,
-            key=self._key(request, customer),
+            idempotency_key=self._key(request, customer),
             fingerprint=_fingerprint(body.model, work),
             is_streamed=body.stream,
         )
@@ -261,10 +263,10 @@
             raise RequestError(400, "invalid_locator", "not an answer locator")
         offset = _offset(request)
         reply = self._reply(request)
-        outcome = await self._router.resume.fetch(where, customer.name, offset)
+        outcome = await self._router.answer_fetcher.fetch(where, customer.name, offset)
         if not isinstance(outcome, Done):
             return reply.error(outcome)
-        body = chat_answer(outcome, where.request, reply.created_s)
+        body = chat_answer(outcome, where.request_id, reply.created_s)
         return send_json(request, 200, body)
 
     # Plain services
@@ -290,7 +292,7 @@
 
     def _service_ask(
         self, request: Any, customer: Customer, service: Service, path: str, request_id: str
-    ) -> Ask:
+    ) -> CallerRequest:
         method = request.method.decode()
         fallback = RequestClass(
             name="service", priority=service.priority, deadline_s=service.deadline_s
@@ -306,15 +308,15 @@
         work = ServiceWork(
             method, f"{path}?{query}" if query else path, headers, request.content.read()
         )
-        return Ask(
-            request=request_id,
+        return CallerRequest(
+            request_id=request_id,
             customer=customer,
             klass=klass,
             spec=service.name,
             work=work,
-            deadline_s=self._deadline_s(request, klass),
+            timeout_s=self._deadline_s(request, klass),
             is_repeatable=klass.repeatable and is_repeatable_call(service, method, path),
-            key=self._key(request, customer),
+            idempotency_key=self._key(request, customer),
             fingerprint=_fingerprint(service.name, work),
         )
 
--- a/umberhitch/adapters/gateway_pages.py
+++ b/umberhitch/adapters/gateway_pages.py
@@ -11,7 +11,7 @@
 from umberhitch.ports.direct import CallerReply, HeaderList, RawRequest, do_nothing
 from umberhitch.tasks.burn import BurnReport
 from umberhitch.tasks.direct.gateway import Gateway
-from umberhitch.tasks.direct.signal_table import StandingSignal, standing_signals
+from umberhitch.tasks.direct.signal_table import ActiveSignal, active_signals
 
 __all__ = ["GatewayPages"]
 
@@ -55,7 +55,7 @@
             _send(reply, 200, JSON, json.encode(self._held()))
         elif path.startswith(RELEASE) and raw.method == b"POST":
             key = path.removeprefix(RELEASE).decode("ascii", "replace")
-            is_known = self._gateway.crashes.sharing.release(key)
+            is_known = self._gateway.crash_guard.sharing.release(key)
             _send(reply, 200 if is_known else 404, JSON, json.encode({"released": is_known}))
         else:
             _send(reply, 404, TEXT, b"no such page\n")
@@ -65,7 +65,7 @@
         """Return the requests that are held, what for, and how long."""
         gateway = self._gateway
         now_s = gateway.clock.seconds()
-        record = gateway.crashes.record
+        record = gateway.crash_guard.record
         return [
             {
                 "key": key,
@@ -76,7 +76,7 @@
                 ),
                 "probes": hold.probes,
                 "next_probe_s": round(max(0.0, hold.until_s - now_s), 3),
-                "arbiter": gateway.crashes.sharing.arbiter(key),
+                "arbiter": gateway.crash_guard.sharing.arbiter(key),
             }
             for key, hold in record.held(now_s)
         ]
@@ -129,15 +129,15 @@
             "configuration": number,
             "configuration_age_s": None if age_s == float("inf") else round(age_s, 3),
             "endpoints": len(gateway.directory),
-            "running": len(gateway.running),
-            "routers": gateway.budget.router_count or 1,
+            "running": len(gateway.running_requests),
+            "routers": gateway.retry_budget.router_count or 1,
             "outcomes": gateway.counters.outcomes,
-            "refused": gateway.answers.refused,
-            "held": sum(1 for _ in gateway.crashes.record.held(gateway.clock.seconds())),
+            "refused": gateway.local_replies.refused,
+            "held": sum(1 for _ in gateway.crash_guard.record.held(gateway.clock.seconds())),
             "zones_out": self._zones_out(),
             "endpoint_signals": [_signal_row(each) for each in self._signals()],
-            "unknown_headers": gateway.gate.unknown.counts,
-            "unclear_headers": gateway.gate.unknown.unclear,
+            "unknown_headers": gateway.gate.unknown_headers.counts,
+            "unclear_headers": gateway.gate.unknown_headers.unclear,
         }
 
     def _zones_out(self) -> dict[str, dict[str, float]]:
@@ -155,9 +155,9 @@
             for zone, since_s in sorted(gateway.directory.zones_out.items())
         }
 
-    def _signals(self) -> list[StandingSignal]:
+    def _signals(self) -> list[ActiveSignal]:
         gateway = self._gateway
-        return standing_signals(gateway.gate, gateway.directory, gateway.clock.seconds())
+        return active_signals(gateway.gate, gateway.directory, gateway.clock.seconds())
 
     def _metrics(self) -> bytes:
         """Return what is counted, in the Prometheus text format."""
@@ -165,16 +165,16 @@
         lines = [
             f"umberhitch_requests_total {count.requests}",
             f"umberhitch_calls_total {count.calls}",
-            f"umberhitch_running {len(gateway.running)}",
+            f"umberhitch_running {len(gateway.running_requests)}",
             f"umberhitch_endpoints {len(gateway.directory)}",
-            f"umberhitch_routers {gateway.budget.router_count or 1}",
-            f"umberhitch_endpoint_crashes_total {gateway.crashes.watch.crashes}",
-            f"umberhitch_requests_suspect {len(gateway.crashes.record)}",
+            f"umberhitch_routers {gateway.retry_budget.router_count or 1}",
+            f"umberhitch_endpoint_crashes_total {gateway.crash_guard.watch.crashes}",
+            f"umberhitch_requests_suspect {len(gateway.crash_guard.record)}",
             f"umberhitch_requests_held {self._status()['held']}",
             f"umberhitch_zones_out {len(gateway.directory.zones_out)}",
             f"umberhitch_cold_shares_used_up_total {gateway.gate.cold_used_up}",
             f"umberhitch_limit_shares_used_up_total {gateway.gate.limit_used_up}",
-            f"umberhitch_unknown_header_names {len(gateway.gate.unknown.counts)}",
+            f"umberhitch_unknown_header_names {len(gateway.gate.unknown_headers.counts)}",
         ]
         kinds = Counter(each.kind for each in self._signals())
         lines += [
@@ -184,14 +184,17 @@
         age_s = gateway.view.proof_age_s(gateway.clock.seconds())
         if age_s != float("inf"):
             lines.append(f"umberhitch_configuration_age_seconds {age_s:.3f}")
-        for name, by_label in (("outcomes", count.outcomes), ("refused", gateway.answers.refused)):
+        for name, by_label in (
+            ("outcomes", count.outcomes),
+            ("refused", gateway.local_replies.refused),
+        ):
             for label, value in sorted(by_label.items()):
                 lines.append(f'umberhitch_{name}_total{{reason="{label}"}} {value}')
         return ("\n".join(lines) + "\n").encode()
 
 
-def _signal_row(signal: StandingSignal) -> dict[str, object]:
-    age_s, left_s = signal.age_s, signal.left_s
+def _signal_row(signal: ActiveSignal) -> dict[str, object]:
+    age_s, left_s = signal.age_s, signal.remaining_s
     return {
         "endpoint": signal.lifetime,
         "signal": signal.kind,
--- a/umberhitch/adapters/metrics.py
+++ b/umberhitch/adapters/metrics.py
@@ -101,9 +101,11 @@
     metrics.counter(
         "umberhitch_requests",
         "requests by outcome",
-        lambda: [(value, {"outcome": name}) for name, value in requests.outcomes.items()],
+        lambda: [(value, {"outcome": name}) for name, value in requests.outcome_counts.items()],
+    )
+    metrics.gauge(
+        "umberhitch_requests_open", "requests in progress", _one(lambda: requests.open_count)
     )
-    metrics.gauge("umberhitch_requests_open", "requests in progress", _one(lambda: requests.open))
     metrics.gauge(
         "umberhitch_revision", "configuration revision", _one(lambda: router.feed.revision)
     )
--- a/umberhitch/adapters/operator_api.py
+++ b/umberhitch/adapters/operator_api.py
@@ -34,10 +34,10 @@
 from umberhitch.core.billing import BillFold
 from umberhitch.errors import ConfigError, LogError, LogTrimmedError
 from umberhitch.ports import LogPort
-from umberhitch.tasks.bills import BILLING_STREAM
 from umberhitch.tasks.config_feed import CONFIG_STREAM
 from umberhitch.tasks.rollouts import RolloutError
-from umberhitch.tasks.router import Router, stopped_versions
+from umberhitch.tasks.router import Router, withdrawn_versions
+from umberhitch.tasks.usage_writer import BILLING_STREAM
 
 __all__ = ["OperatorApi", "Role"]
 
@@ -170,7 +170,7 @@
         author = self._operator(request, Role.CHANGE)
         raw = _decoded(request)
         change = self._parse_change(raw, author, self._change_id(request))
-        if stopped_versions(change):
+        if withdrawn_versions(change):
             self._operator(request, Role.WITHDRAW)
         return await self._submit(request, change)
 
@@ -201,7 +201,7 @@
                 request, 200, {"dry_run": True, "ops": len(change.ops), "findings": rows}
             )
         try:
-            verdict = await self._router.change(change)
+            verdict = await self._router.submit_change(change)
         except LogError as exc:
             raise OperatorError(503, f"the change was not queued: {exc}") from exc
         return send_json(request, verdict_status(verdict), verdict_body(verdict, change))
@@ -228,9 +228,9 @@
                 "is_stale": router.is_stale,
                 "log": {"reachable": follower.failures == 0, "failures": follower.failures},
                 "usage_pending": router.bills.pending,
-                "requests_open": router.requests.open,
+                "requests_open": router.requests.open_count,
                 "endpoints": [self._endpoint_row(name) for name in sorted(router.fleet.endpoints)],
-                "peers": [peer_row(digest) for digest in router.peers.live()],
+                "peers": [peer_row(digest) for digest in router.peers.live_digests()],
             },
         )
 
@@ -242,7 +242,7 @@
             "targets": list(endpoint.targets),
             "state": "silent" if self._router.fleet.is_silent(endpoint) else endpoint.state.value,
             "revision": endpoint.revision,
-            "in_flight": endpoint.own,
+            "in_flight": endpoint.own_attempts,
             "load": round(endpoint.load(), 3),
         }
 
@@ -252,7 +252,7 @@
         self._operator(request, Role.READ)
         router = self._router
         zones: dict[str, dict[str, Any]] = {}
-        for digest in [router.digest(), *router.peers.live()]:
+        for digest in [router.make_digest(), *router.peers.live_digests()]:
             row = zones.setdefault(digest.zone, empty_zone())
             row["routers"] += 1
             row["routers_behind"] += digest.revision < revision
--- a/umberhitch/adapters/stored_holds.py
+++ b/umberhitch/adapters/stored_holds.py
@@ -4,7 +4,7 @@
 
 from msgspec import DecodeError, Struct, ValidationError, json
 
-from umberhitch.platform import StoreClient, append_row, newest_rows
+from umberhitch.platform import StoreClient, append_record, newest_records
 from umberhitch.ports.direct import StoredHold
 
 __all__ = ["HoldsStore"]
@@ -36,7 +36,7 @@
 
     async def read(self) -> list[StoredHold]:
         """Return all requests that are held; what does not validate is logged and left out."""
-        rows, _ = await newest_rows(self._store, TOPIC)
+        rows, _ = await newest_records(self._store, TOPIC)
         found = []
         for key, value in rows:
             if not value:
@@ -55,4 +55,4 @@
         value = b""
         if hold is not None:
             value = json.encode(_Document(hold.service_version, list(hold.lifetimes), hold.probes))
-        await append_row(self._store, TOPIC, key, value)
+        await append_record(self._store, TOPIC, key, value)
--- a/umberhitch/adapters/tests/test_logs.py
+++ b/umberhitch/adapters/tests/test_logs.py
@@ -5,7 +5,7 @@
 from twisted.internet.task import Clock
 
 from umberhitch.adapters.logs import PatientStream
-from umberhitch.tasks.direct.decisions import DecisionLimits, DecisionLog
+from umberhitch.tasks.direct.decision_log import DecisionLimits, DecisionLog
 
 
 def test_a_reader_that_does_not_read_stalls_nothing_and_gets_whole_lines_later():
--- a/umberhitch/demo/_checks.py
+++ b/umberhitch/demo/_checks.py
@@ -8,7 +8,7 @@
 from umberhitch.demo._client import Answer
 from umberhitch.embedded import EmbeddedDeployment
 from umberhitch.fakes import expected_answer
-from umberhitch.tasks.bills import BILLING_STREAM
+from umberhitch.tasks.usage_writer import BILLING_STREAM
 from umberhitch.wire import EngineWork
 
 __all__ = ["Check", "check_promises", "fold_bills"]
--- a/umberhitch/demo/_direct.py
+++ b/umberhitch/demo/_direct.py
@@ -7,11 +7,11 @@
 
 from umberhitch.demo._checks import Check
 from umberhitch.platform.standins.client import (
-    EVENTS,
-    KEY,
+    API_KEY,
+    COMPLETE_STREAM,
     LocalPlatform,
     RouterProcess,
-    eventually,
+    wait_until,
 )
 
 __all__ = ["run_direct"]
@@ -48,14 +48,14 @@
     for name in ("e1", "e2"):
         platform.add_endpoint(name)
     first, second = (platform.start_router(f"router-{number}") for number in (1, 2))
-    eventually(lambda: first.status()["endpoints"] == second.status()["endpoints"] == 2)
+    wait_until(lambda: first.status()["endpoints"] == second.status()["endpoints"] == 2)
     checks = []
 
-    answers = [first.ask("/look/x", f"look-{number}", KEY) for number in range(ASKS)]
+    answers = [first.send_request("/look/x", f"look-{number}", API_KEY) for number in range(ASKS)]
     done = sum(answer.status == 200 for answer in answers)
     checks.append(Check("every request has its own answer", done == ASKS, f"{done} of {ASKS}"))
 
-    order = first.ask("/order/x", "order-1", KEY)
+    order = first.send_request("/order/x", "order-1", API_KEY)
     ran = [run for name in ("e1", "e2") for run in platform.runs(name)]
     runs = sum(run["call_id"] == "order-1" for run in ran)
     holds = (order.status, runs) == (200, 1)
@@ -63,21 +63,21 @@
 
     for name in ("e1", "e2"):
         platform.break_streams(name, after_events=2)
-    stream = second.ask("/draft/x", "draft-1", KEY, model="small")
-    holds = stream.is_whole and stream.body == EVENTS
+    stream = second.send_request("/draft/x", "draft-1", API_KEY, model="small")
+    holds = stream.is_complete and stream.body == COMPLETE_STREAM
     checks.append(Check("a stream that breaks off goes on elsewhere", holds))
     for name in ("e1", "e2"):
         platform.break_streams(name, after_events=0)
 
     platform.publish(2, keys=(NEW_KEY,))
-    eventually(lambda: second.status()["configuration"] == 2)
-    status = second.ask("/look/x", "look-old-key", KEY).status
+    wait_until(lambda: second.status()["configuration"] == 2)
+    status = second.send_request("/look/x", "look-old-key", API_KEY).status
     checks.append(Check("a key that was taken away opens nothing", status == 401, f"{status}"))
 
-    platform.take_store_away(True)
-    eventually(lambda: second.ask("/look/x", "look-no-store", NEW_KEY).status == 503)
-    platform.take_store_away(False)
-    eventually(lambda: second.ask("/look/x", "look-store-back", NEW_KEY).status == 200)
+    platform.set_store_down(True)
+    wait_until(lambda: second.send_request("/look/x", "look-no-store", NEW_KEY).status == 503)
+    platform.set_store_down(False)
+    wait_until(lambda: second.send_request("/look/x", "look-store-back", NEW_KEY).status == 200)
     checks.append(Check("without proof of the keys nothing is passed on; with it, all is", True))
 
     checks += _name_limit(platform, [first, second])
@@ -85,7 +85,9 @@
     checks += _leave_and_rest(platform, [first, second])
 
     first.kill()
-    answers = [second.ask("/look/x", f"look-alone-{number}", NEW_KEY) for number in range(ASKS)]
+    answers = [
+        second.send_request("/look/x", f"look-alone-{number}", NEW_KEY) for number in range(ASKS)
+    ]
     done = sum(answer.status == 200 for answer in answers)
     checks.append(Check("a router that is lost takes nothing along", done == ASKS))
     return checks
@@ -95,11 +97,11 @@
     """Take zone a out of service under load, and back when its endpoints are cold."""
     platform.publish(3, keys=(NEW_KEY,), cold_rate=COLD_RATE)
     platform.add_endpoint("e3", zone="b")
-    eventually(lambda: router.status()["endpoints"] == 3 and not router.signals("cold"))
+    wait_until(lambda: router.status()["endpoints"] == 3 and not router.endpoint_signals("cold"))
     usual, served = _crowd(platform, router, "in")
     print(f"  in service: {usual} calls to zone a, {served} of {CROWD} served")
-    platform.take_out("a")
-    eventually(lambda: "a" in router.status()["zones_out"])
+    platform.evacuate_zone("a")
+    wait_until(lambda: "a" in router.status()["zones_out"])
     during, served = _crowd(platform, router, "out")
     print(f"  out of service: {during} calls to zone a, {served} of {CROWD} served")
     holds = during == 0 and usual > 0 and served == CROWD
@@ -107,23 +109,23 @@
 
     for name in ZONE_A:
         platform.make_cold(name, COLD_S, COLD_RATE)
-    platform.take_back("a")
-    eventually(lambda: not router.status()["zones_out"])
+    platform.restore_zone("a")
+    wait_until(lambda: not router.status()["zones_out"])
     after, served = _crowd(platform, router, "back")
     print(f"  back, its endpoints cold: {after} calls to zone a, {served} of {CROWD} served")
-    has_ended = any(platform.has_ended(name) for name in ZONE_A)
+    has_ended = any(platform.has_crashed(name) for name in ZONE_A)
     return [*checks, Check("cold endpoints get no more than they bear", not has_ended)]
 
 
 def _name_limit(platform: LocalPlatform, routers: list[RouterProcess]) -> list[Check]:
     """Let one endpoint name a limit: the routers keep it together, and the rest goes elsewhere."""
-    platform.name_limit("e2", LIMIT_RATE)
-    eventually(lambda: _all_know(routers, True))
+    platform.set_rate_limit("e2", LIMIT_RATE)
+    wait_until(lambda: _all_know(routers, True))
     began_s, before = monotonic(), len(platform.arrivals("e2"))
 
     def ask(number: int) -> bool:
         router = routers[number % len(routers)]
-        return router.ask("/look/x", f"limit-{number}", NEW_KEY).status == 200
+        return router.send_request("/look/x", f"limit-{number}", NEW_KEY).status == 200
 
     asked = served = 0
     with ThreadPoolExecutor(CALLERS) as pool:
@@ -135,8 +137,8 @@
         f"  e2 takes {LIMIT_RATE:g} a second: {arrived} calls to it in {lasted_s:.1f} s,"
         f" {served} of {asked} served"
     )
-    platform.name_limit("e2", None)
-    eventually(lambda: _all_know(routers, False))
+    platform.set_rate_limit("e2", None)
+    wait_until(lambda: _all_know(routers, False))
     spans = 1 + lasted_s // 4.0
     holds = 0 < arrived <= spans * (4.0 * 1.5 * LIMIT_RATE + 5.0) and served == asked
     return [Check("an endpoint in need gets no more than it takes, from all routers", holds)]
@@ -146,13 +148,14 @@
     """Let one endpoint say that it leaves, and another want rest: the others serve."""
     platform.add_endpoint("e5")
     platform.add_endpoint("e6")
-    eventually(lambda: all(router.status()["endpoints"] == 5 for router in routers))
-    platform.say_leaving("e5")
-    platform.ask_for_rest("e6", REST_S)
-    eventually(lambda: _have_heard(routers, "leaving") and _have_heard(routers, "rest"))
+    wait_until(lambda: all(router.status()["endpoints"] == 5 for router in routers))
+    platform.signal_draining("e5")
+    platform.request_backoff("e6", REST_S)
+    wait_until(lambda: _have_heard(routers, "leaving") and _have_heard(routers, "rest"))
     before = len(platform.arrivals("e5")), len(platform.arrivals("e6"))
     served = sum(
-        routers[number % len(routers)].ask("/look/x", f"words-{number}", NEW_KEY).status == 200
+        routers[number % len(routers)].send_request("/look/x", f"words-{number}", NEW_KEY).status
+        == 200
         for number in range(CROWD)
     )
     leaving = len(platform.arrivals("e5")) - before[0]
@@ -162,7 +165,7 @@
         f" to them, {served} of {CROWD} served"
     )
     holds = leaving == resting == 0 and served == CROWD
-    platform.ask_for_rest("e6", None)
+    platform.request_backoff("e6", None)
     for name in ("e5", "e6"):
         platform.drain_endpoint(name)
     return [Check("nothing goes to endpoints that leave or rest, and others serve", holds)]
@@ -171,13 +174,13 @@
 def _have_heard(routers: list[RouterProcess], kind: str) -> bool:
     """Send calls at the same time, and return whether all know of an endpoint that says this."""
     _ask_together(routers, kind)
-    return all(router.signals(kind) for router in routers)
+    return all(router.endpoint_signals(kind) for router in routers)
 
 
 def _all_know(routers: list[RouterProcess], is_limited: bool) -> bool:
     """Send calls at the same time, and return whether all know whether an endpoint is limited."""
     _ask_together(routers, "known")
-    return all(bool(router.signals("limit")) == is_limited for router in routers)
+    return all(bool(router.endpoint_signals("limit")) == is_limited for router in routers)
 
 
 def _ask_together(routers: list[RouterProcess], name: str) -> None:
@@ -185,7 +188,7 @@
 
     def ask(number: int) -> None:
         router = routers[number % len(routers)]
-        router.ask("/draft/x", f"{name}-{number}-{monotonic()}", NEW_KEY, model="small")
+        router.send_request("/draft/x", f"{name}-{number}-{monotonic()}", NEW_KEY, model="small")
 
     with ThreadPoolExecutor(4 * CALLERS) as pool:
         list(pool.map(ask, range(4 * CALLERS)))
@@ -196,8 +199,8 @@
     before = sum(len(platform.runs(each)) for each in ZONE_A)
 
     def ask(number: int) -> bool:
-        answer = router.ask("/draft/x", f"{name}-{number}", NEW_KEY, model="small")
-        return answer.status == 200 and answer.body == EVENTS
+        answer = router.send_request("/draft/x", f"{name}-{number}", NEW_KEY, model="small")
+        return answer.status == 200 and answer.body == COMPLETE_STREAM
 
     with ThreadPoolExecutor(CALLERS) as pool:
         served = sum(pool.map(ask, range(CROWD)))
--- a/umberhitch/gateway_node.py
+++ b/umberhitch/gateway_node.py
@@ -26,13 +26,13 @@
     make_operator_feed,
 )
 from umberhitch.ports.direct import Member
-from umberhitch.tasks.burn import BurnHost, BurnTask
+from umberhitch.tasks.burn import BurnContext, BurnTask
 from umberhitch.tasks.direct.gateway import Gateway
 from umberhitch.tasks.direct.gateway_limits import GatewaySettings
-from umberhitch.tasks.direct.opening import open_when_loaded
 from umberhitch.tasks.direct.peers import DirectPeers
 from umberhitch.tasks.direct.read_sharing import ReadSharing, StreamName
 from umberhitch.tasks.direct.shared_view import share_stream
+from umberhitch.tasks.direct.startup_wait import accept_when_loaded
 from umberhitch.tasks.direct.stored_holds import StoredHolds
 from umberhitch.tasks.direct.trials import Trials
 
@@ -88,7 +88,7 @@
             self.callers.close_idle()
             drained.callback(None)
 
-        self.gateway.leave(self.callers.close_idle, close)
+        self.gateway.drain(self.callers.close_idle, close)
         return drained
 
     def stop(self) -> None:
@@ -139,7 +139,7 @@
             zone=settings.zone,
             link_mbps=settings.link_mbps,
             proof_age_s=PROOF_MARGIN * bounds.revocation_s,
-            behind_s=BEHIND_MARGIN * bounds.configuration_s,
+            max_lag_s=BEHIND_MARGIN * bounds.configuration_s,
             is_strict=bounds.strict_revocation is not False,
             drain_s=settings.drain_s,
             drain_notice_s=settings.drain_notice_s,
@@ -158,10 +158,10 @@
     operator_view.attach_feed(gateway.view.operator_feed)
     registry_view.attach_feed(gateway.view.registry_feed)
     me = Member(settings.name, link.address)
-    burn_host = BurnHost(settings.name, sharing.peer_names, link.send, gateway.objectives)
+    burn_host = BurnContext(settings.name, sharing.peer_names, link.send, gateway.objectives)
     gateway.burn = BurnTask(burn_host, reactor, time, has_latencies=False)
     peers = DirectPeers(me, incarnation, gateway, reactor, rng, link, Members(store), sharing)
-    holds = StoredHolds(reactor, HoldsStore(store), gateway.crashes.sharing, peers.rank)
+    holds = StoredHolds(reactor, HoldsStore(store), gateway.crash_guard.sharing, peers.rank)
     callers = CallerFactory(reactor, gateway, int(settings.memory_mb * MIB * BODIES_SHARE))
 
     def transport() -> dict[str, int]:
@@ -188,7 +188,7 @@
     node = GatewayNode(
         gateway, trials, peers, holds, link, client, callers, f"{host}:{number}", ports
     )
-    open_when_loaded(
+    accept_when_loaded(
         reactor,
         lambda: gateway.view.is_loaded,
         lambda: node.take_callers(_adopt(reactor, callers_socket, callers)),
--- a/umberhitch/platform/__init__.py
+++ b/umberhitch/platform/__init__.py
@@ -3,7 +3,7 @@
 from umberhitch.core.direct import EndpointEntry
 from umberhitch.platform._client import StoreClient
 from umberhitch.platform._documents import CONFIG_KEY, decode_endpoint, decode_operator
-from umberhitch.platform._feed import KeyedFeed, LargeRecords, append_row, newest_rows
+from umberhitch.platform._feed import KeyedFeed, LargeRecords, append_record, newest_records
 from umberhitch.platform._headers import PlatformWire
 from umberhitch.platform._store import ENDPOINT_TOPIC, OPERATOR_TOPIC, Members, Statuses
 from umberhitch.ports.direct import OperatorValue
@@ -13,13 +13,13 @@
     "PlatformWire",
     "Statuses",
     "StoreClient",
-    "append_row",
+    "append_record",
     "make_endpoint_feed",
     "make_operator_feed",
-    "newest_rows",
+    "newest_records",
 ]
 
-CONFIGURATIONS = LargeRecords(CONFIG_KEY, skip_bytes=32 * 1024)
+CONFIGURATIONS = LargeRecords(CONFIG_KEY, skip_after_bytes=32 * 1024)
 """Of several configurations only the newest is read: a series of 12, 0.33 s apart and 0.8 MB each,
 is in force 1.6 s after its last over 5 Mbit/s; 11.6 s where each is read (virtual clock)."""
 
@@ -31,4 +31,4 @@
 
 def make_endpoint_feed(store: StoreClient) -> KeyedFeed[EndpointEntry]:
     """Return the feed of the endpoints' entries."""
-    return KeyedFeed(store, ENDPOINT_TOPIC, decode_endpoint, broken_is_gone=True)
+    return KeyedFeed(store, ENDPOINT_TOPIC, decode_endpoint, invalid_deletes=True)
--- a/umberhitch/platform/_client.py
+++ b/umberhitch/platform/_client.py
@@ -11,10 +11,10 @@
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import EndpointCall
 
-__all__ = ["CALL_S", "StoreClient", "json_of"]
+__all__ = ["CALL_TIMEOUT_S", "StoreClient", "decode_response"]
 
 Query = dict[str, Any]
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 """A call that takes longer has failed; the store answers within some ms, slow within some 100."""
 
 
@@ -41,10 +41,10 @@
         path: str,
         query: Query,
         body: bytes = b"",
-        patience_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
         is_wanted: IsWanted | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and body of an answer, which has to begin within ``patience_s``.
+        """Return status and body of an answer, which has to begin within ``timeout_s``.
 
         Raises
         ------
@@ -63,7 +63,7 @@
             "", method.encode(), target.encode(), headers, body, is_non_repeatable=True
         )
         try:
-            fetched = fetch(self._http, self.clock, self._address, call, patience_s, is_wanted)
+            fetched = fetch(self._http, self.clock, self._address, call, timeout_s, is_wanted)
             head, data = await fetched
         except NoReplyError as exc:
             if exc.has_begun:
@@ -76,7 +76,11 @@
         return head.status, data
 
     async def read(
-        self, path: str, query: Query, patience_s: float = CALL_S, is_wanted: IsWanted | None = None
+        self,
+        path: str,
+        query: Query,
+        timeout_s: float = CALL_TIMEOUT_S,
+        is_wanted: IsWanted | None = None,
     ) -> tuple[int, bytes]:
         """Return status and body of an answer to a call that changes nothing.
 
@@ -88,19 +92,19 @@
             The answer was not completed.
         """
         try:
-            return await self.call("GET", path, query, b"", patience_s, is_wanted)
+            return await self.call("GET", path, query, b"", timeout_s, is_wanted)
         except LogBrokenOffError:
             raise
         except LogAnswerLostError as exc:
             raise LogUnavailableError(str(exc)) from exc
 
-    async def call_json(self, path: str, body: dict[str, Any]) -> Any:
+    async def post_json(self, path: str, body: dict[str, Any]) -> Any:
         """Post JSON and return the answer's; raises as `call`."""
         status, data = await self.call("POST", path, {}, json.encode(body))
-        return json_of(status, data)
+        return decode_response(status, data)
 
 
-def json_of(status: int, data: bytes) -> Any:
+def decode_response(status: int, data: bytes) -> Any:
     """Return an answer's JSON; raises `LogUnavailableError` where there is none."""
     if status != 200:
         raise LogUnavailableError(f"the store answered {status}")
--- a/umberhitch/platform/_documents.py
+++ b/umberhitch/platform/_documents.py
@@ -32,14 +32,14 @@
 
 CONFIG_KEY = "config"
 MAX_SLOTS = 1_000_000
-LATEST_BORN_MS = 2**53
+MAX_BORN_MS = 2**53
 """Larger ones are no times: a JSON number is exact up to there, and peers can be told it."""
 ENDPOINT_KEY = re.compile(r"[!-~]{1,255}", re.ASCII)
 """It is sent in a header."""
 ROLLOUT_PREFIX = "rollout/"
 ZONE_PREFIX = "evacuate/"
-LONGEST_COLD_MS = 3_600_000.0  # an hour: covers any start
-KINDS = {
+MAX_COLD_MS = 3_600_000.0  # an hour: covers any start
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -124,7 +124,7 @@
     slots: Annotated[int, Meta(ge=0, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
     zone: _Text = ""
-    born: Annotated[int, Meta(ge=0, le=LATEST_BORN_MS)] | None = None
+    born: Annotated[int, Meta(ge=0, le=MAX_BORN_MS)] | None = None
     cold_remaining_ms: float | None = None
 
 
@@ -183,7 +183,7 @@
         raw.name,
         raw.host,
         raw.path_prefix,
-        KINDS[raw.kind],
+        ROUTE_KINDS[raw.kind],
         raw.timeout_ms / 1000,
         raw.target_latency_ms / 1000,
         raw.priority,
@@ -218,7 +218,7 @@
         raise ConfigError([f"{key}: {exc}"]) from exc
     said = (raw.service, raw.address, raw.zone, raw.version, raw.slots, EndpointState(raw.state))
     cold_ms = raw.cold_remaining_ms
-    cold_s = None if cold_ms is None else min(max(0.0, cold_ms), LONGEST_COLD_MS) / 1000
+    cold_s = None if cold_ms is None else min(max(0.0, cold_ms), MAX_COLD_MS) / 1000
     return EndpointEntry(key, *said, raw.born, cold_s)
 
 
--- a/umberhitch/platform/_feed.py
+++ b/umberhitch/platform/_feed.py
@@ -14,17 +14,17 @@
     LogTrimmedError,
     LogUnavailableError,
 )
-from umberhitch.platform._client import CALL_S, StoreClient, json_of
+from umberhitch.platform._client import CALL_TIMEOUT_S, StoreClient, decode_response
 from umberhitch.ports.direct import FeedBatch, FeedRecord, OnResponseStart, do_nothing
 
-__all__ = ["KeyedFeed", "LargeRecords", "append_row", "newest_rows"]
+__all__ = ["KeyedFeed", "LargeRecords", "append_record", "newest_records"]
 
 Value = TypeVar("Value")
 
-READ_KB = 1024
-LAST_TRIES = 4
+MAX_READ_KB = 1024
+MAX_LAST_READS = 4
 """So often the last record is asked for while more come; then the newest of every key."""
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 """Length of a record, before it."""
 OFFSETS = struct.Struct(">QQ")
 
@@ -43,7 +43,7 @@
     """
 
     key: str
-    skip_bytes: int
+    skip_after_bytes: int
 
 
 class KeyedFeed(Generic[Value]):
@@ -66,22 +66,22 @@
         store: StoreClient,
         topic: str,
         decode: Callable[[str, bytes], Value | None],
-        large: LargeRecords | None = None,
-        broken_is_gone: bool = False,
+        large_records: LargeRecords | None = None,
+        invalid_deletes: bool = False,
     ) -> None:
-        self._broken_is_gone = broken_is_gone
+        self._broken_is_gone = invalid_deletes
         self._problems = ProblemLog(store.clock, topic)
         self._store = store
         self._topic = topic
         self._decode = decode
-        self._large = large
+        self._large = large_records
         self._last: int | None = None
         """Offset of the last record, where those before it were left unread."""
 
     async def newest(self, timeout_s: float) -> FeedBatch[Value]:
         """Return the newest record of every key, and an offset from which nothing is missed."""
         found = await self._newest_by_last(timeout_s)
-        rows, end = found or await newest_rows(self._store, self._topic, timeout_s)
+        rows, end = found or await newest_records(self._store, self._topic, timeout_s)
         records = [self._record(key, value) for key, value in rows]
         return FeedBatch(tuple(filter(None, records)), end)
 
@@ -89,7 +89,7 @@
         self, patience_s: float
     ) -> tuple[list[tuple[str, bytes]], int] | None:
         """Return the same where the last record is a large one: as it is, not in base64."""
-        for _ in range(LAST_TRIES):
+        for _ in range(MAX_LAST_READS):
             last, self._last = self._last, None
             if last is None:
                 return None
@@ -102,7 +102,7 @@
             assert self._large is not None
             if self._large.key not in dict(rows):
                 return None
-            others, _ = await newest_rows(self._store, self._topic, patience_s, self._large.key)
+            others, _ = await newest_records(self._store, self._topic, patience_s, self._large.key)
             return others + rows, end
         return None
 
@@ -121,7 +121,7 @@
     async def _read_from(
         self, offset: int, wait_s: float, patience_s: float, on_begun: OnResponseStart = do_nothing
     ) -> tuple[list[tuple[str, bytes]], int]:
-        query = {"topic": self._topic, "part": 0, "from": offset, "maxKb": READ_KB}
+        query = {"topic": self._topic, "part": 0, "from": offset, "maxKb": MAX_READ_KB}
         query["waitMs"] = int(wait_s * 1000)
         has_begun = False
 
@@ -130,7 +130,7 @@
             if not has_begun and len(body) > OFFSETS.size:
                 has_begun = True
                 on_begun()
-            if self._large is None or len(body) < self._large.skip_bytes:
+            if self._large is None or len(body) < self._large.skip_after_bytes:
                 return True
             return _end(body) <= offset + 1
 
@@ -141,10 +141,10 @@
             self._last = _end(exc.start) - 1
             raise LogReplacedError("several large records follow") from exc
         if status == 410:
-            raise LogTrimmedError(int(json_of(200, data).get("firstOffset", 0)))
+            raise LogTrimmedError(int(decode_response(200, data).get("firstOffset", 0)))
         if status != 200:
             raise LogUnavailableError(f"the store answered {status}")
-        rows, end = _rows(data, offset)
+        rows, end = _parse_records(data, offset)
         if end > offset + len(rows):
             self._problems.write(f"records without a key from offset {offset} on")
         return rows, end
@@ -160,8 +160,8 @@
         return None if decoded is None else FeedRecord(key, decoded)
 
 
-async def newest_rows(
-    store: StoreClient, topic: str, patience_s: float = CALL_S, after: str = ""
+async def newest_records(
+    store: StoreClient, topic: str, timeout_s: float = CALL_TIMEOUT_S, after: str = ""
 ) -> tuple[list[tuple[str, bytes]], int]:
     """Return all newest records of a topic, and the end before the first page was read.
 
@@ -173,10 +173,10 @@
     if after:
         query["after"] = after
     while True:
-        status, data = await store.read("/-/log-newest", query, patience_s)
+        status, data = await store.read("/-/log-newest", query, timeout_s)
         if status == 404:
             return rows, max(0, end)
-        page = json_of(status, data)
+        page = decode_response(status, data)
         # Pages are no snapshot: what changes meanwhile is read again from the first page's end.
         end = page["endOffset"] if end < 0 else end
         rows += [(item["key"], b64decode(item.get("value") or "")) for item in page["items"]]
@@ -185,14 +185,16 @@
         query["after"] = rows[-1][0]
 
 
-async def append_row(store: StoreClient, topic: str, key: str, value: bytes, **query: int) -> bool:
+async def append_record(
+    store: StoreClient, topic: str, key: str, value: bytes, **query: int
+) -> bool:
     """Append a record to a keyed topic; return False where a condition does not hold."""
     record = bytes([len(key)]) + key.encode() + value
     asked = {"topic": topic, "part": 0, **query}
-    body = LENGTH.pack(len(record)) + record
+    body = LENGTH_PREFIX.pack(len(record)) + record
     status, data = await store.call("POST", "/-/log-append", asked, body)
     if status != 412:
-        json_of(status, data)
+        decode_response(status, data)
     return status != 412
 
 
@@ -201,7 +203,7 @@
     return int(OFFSETS.unpack_from(data)[0])
 
 
-def _rows(data: bytes, offset: int) -> tuple[list[tuple[str, bytes]], int]:
+def _parse_records(data: bytes, offset: int) -> tuple[list[tuple[str, bytes]], int]:
     """Return keys and values of raw records, and the offset after the last one.
 
     Those whose key cannot be read are passed over: anyone may have written them.
@@ -212,8 +214,8 @@
         OFFSETS.unpack_from(data)
         at = OFFSETS.size
         while at < len(data):
-            (length,) = LENGTH.unpack_from(data, at)
-            at += LENGTH.size
+            (length,) = LENGTH_PREFIX.unpack_from(data, at)
+            at += LENGTH_PREFIX.size
             record = data[at : at + length]
             if len(record) != length:
                 raise LogUnavailableError("a record was cut off")
--- a/umberhitch/platform/_headers.py
+++ b/umberhitch/platform/_headers.py
@@ -29,7 +29,7 @@
 
 ANY_MODEL = b"*"
 MAX_PRIORITY = 9
-DEFAULT_PATIENCE_S = 30.0
+DEFAULT_DEADLINE_S = 30.0
 """Where the caller names no deadline; the route's timeout holds besides."""
 NOT_RUN_STATUSES = frozenset({421})
 """A promise by itself; the others need `Not-Executed` beside them."""
@@ -155,7 +155,7 @@
 
 def _seconds(value: bytes | None) -> float:
     if value is None:
-        return DEFAULT_PATIENCE_S
+        return DEFAULT_DEADLINE_S
     if not value.isdigit():
         raise BadAskError(400, "malformed deadline")
     return int(value) / 1000
--- a/umberhitch/platform/_store.py
+++ b/umberhitch/platform/_store.py
@@ -4,9 +4,9 @@
 
 from umberhitch.core.direct import RolloutState
 from umberhitch.errors import ConfigError
-from umberhitch.platform._client import StoreClient, json_of
+from umberhitch.platform._client import StoreClient, decode_response
 from umberhitch.platform._documents import decode_status, encode_status
-from umberhitch.platform._feed import append_row, newest_rows
+from umberhitch.platform._feed import append_record, newest_records
 from umberhitch.ports.direct import Member, StoredStatus
 
 __all__ = ["ENDPOINT_TOPIC", "OPERATOR_TOPIC", "Members", "Statuses"]
@@ -29,7 +29,7 @@
 
     async def read(self) -> StoredStatus:
         """Return all states."""
-        rows, end = await newest_rows(self._store, STATUS_TOPIC)
+        rows, end = await newest_records(self._store, STATUS_TOPIC)
         states = {}
         for key, value in rows:
             try:
@@ -45,7 +45,7 @@
     async def write(self, service: str, target: str, state: RolloutState, end: int) -> bool:
         """Write a state unless anything was written since ``end``; return whether it was done."""
         key, value = encode_status(service, target, state)
-        return await append_row(self._store, STATUS_TOPIC, key, value, expectedOffset=end)
+        return await append_record(self._store, STATUS_TOPIC, key, value, expectedOffset=end)
 
 
 class Members:
@@ -68,19 +68,19 @@
             "ttlMs": int(ttl_s * 1000),
             "generation": self._generation,
         }
-        reply = await self._store.call_json("/-/log-join", body)
+        reply = await self._store.post_json("/-/log-join", body)
         self._generation = int(reply["generation"])
         return self._generation
 
     async def leave(self, member: Member) -> None:
         """Leave."""
-        await self._store.call_json("/-/log-leave", {"group": GROUP, "member": _label(member)})
+        await self._store.post_json("/-/log-leave", {"group": GROUP, "member": _label(member)})
 
     async def members(self) -> list[Member]:
         """Return all members."""
         status, data = await self._store.read("/-/log-owners", {"group": GROUP})
         # The pages do not name the list of rows; it is the only list in the answer.
-        rows = next((v for v in json_of(status, data).values() if isinstance(v, list)), [])
+        rows = next((v for v in decode_response(status, data).values() if isinstance(v, list)), [])
         labels = {row[2] for row in rows if row[2]}
         parts = [label.rpartition("@") for label in sorted(labels)]
         return [Member(name, address) for name, _, address in parts]
--- a/umberhitch/platform/standins/__main__.py
+++ b/umberhitch/platform/standins/__main__.py
@@ -81,9 +81,9 @@
         return send_json(request, 200, {})
 
     @app.route("/endpoints/<name>/ended", methods=["GET"])
-    def has_ended(self, request: Any, name: str) -> bytes:
+    def has_crashed(self, request: Any, name: str) -> bytes:
         """Return whether an endpoint's process has ended."""
-        return send_json(request, 200, self._endpoints[name].is_ended)
+        return send_json(request, 200, self._endpoints[name].has_crashed)
 
     def _set_cold(self, name: str, seconds: float = 0.0, rate: float = 0.0) -> None:
         endpoint, entry = self._endpoints[name], self._entries[name]
@@ -115,10 +115,10 @@
         return send_json(request, 200, {})
 
     @app.route("/store/forget", methods=["POST"])
-    def forget(self, request: Any) -> bytes:
+    def trim_history(self, request: Any) -> bytes:
         """Drop the history."""
         for topic in (ENDPOINT_TOPIC, OPERATOR_TOPIC):
-            self.store.forget_history(topic)
+            self.store.trim_history(topic)
         return send_json(request, 200, {})
 
     def _register(self, name: str) -> None:
--- a/umberhitch/platform/standins/_endpoint.py
+++ b/umberhitch/platform/standins/_endpoint.py
@@ -10,7 +10,7 @@
 
 __all__ = ["EndpointFaults", "EndpointStandin"]
 
-EVENTS = 4
+EVENT_COUNT = 4
 COLD_OVERRUN = 1.5
 COLD_SLACK = 5.0
 """A cold endpoint ends by more within a second than its rate times the one, plus the other."""
@@ -91,7 +91,7 @@
     arrivals: list[Arrival] = field(default_factory=list)
     port: Any = None
     """Where it listens."""
-    is_ended: bool = False
+    has_crashed: bool = False
     cold_until_s: float = 0.0
     """On the machine's steady clock."""
     cold_rate: float = 0.0
@@ -100,9 +100,9 @@
 
     app = Klein()
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """End as a process does: listen no more, then break every connection."""
-        self.is_ended = True
+        self.has_crashed = True
         maybeDeferred(self.port.stopListening).addCallback(lambda _: self._break_all())
 
     def _break_all(self) -> None:
@@ -119,10 +119,10 @@
         return now_s < self.cold_until_s and len(self._arrived_s) > bound
 
     @app.route("/", branch=True)
-    def run(self, request: Any) -> Any:
+    def handle_request(self, request: Any) -> Any:
         """Run any request."""
         self._transports.add(request.transport)
-        if self.is_ended:
+        if self.has_crashed:
             request.transport.abortConnection()
             return Deferred()
         head = request.requestHeaders
@@ -137,7 +137,7 @@
             request.setResponseCode(421)
             return b""
         if self._is_overrun():
-            self.end()
+            self.crash()
             return Deferred()
         if self.faults.is_shedding or self.faults.rest_s is not None:
             self._say(request, arrival)
@@ -149,7 +149,7 @@
         self.runs.append(Run(call_id, customer, model, monotonic()))
         body = request.content.read().decode("latin-1")
         if self.faults.crashes_on and body == self.faults.crashes_on:
-            self.end()
+            self.crash()
             return Deferred()
         if self.faults.loses_answers:
             request.transport.abortConnection()
@@ -187,7 +187,7 @@
                 request.transport.abortConnection()
                 return
             request.write(b"id: %d\ndata: e%d\n\n" % (number, number))
-            if number >= EVENTS:
+            if number >= EVENT_COUNT:
                 done.callback(None)
                 return
             self.reactor.callLater(self.faults.event_s, send, number + 1, count + 1)
--- a/umberhitch/platform/standins/_thin_link.py
+++ b/umberhitch/platform/standins/_limited_link.py
@@ -10,17 +10,17 @@
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import CallEvents, EndpointCall, RunningCall
 
-__all__ = ["ThinLink"]
+__all__ = ["LimitedLink"]
 
-PIECE_BYTES = 8192
+CHUNK_BYTES = 8192
 """What arrives at once."""
-ANSWER_S = 0.004
+RESPONSE_DELAY_S = 0.004
 """Time of the store for one answer, and of the way."""
 CLOCK_STEP_S = 0.01
 """Virtual clocks are advanced by this; what is due in between comes so much late."""
 
 
-class ThinLink:
+class LimitedLink:
     """One router's way to the store; an `EndpointPort`. Calls under way share the bandwidth.
 
     Parameters
@@ -47,43 +47,45 @@
 
     def send(self, address: str, call: EndpointCall, events: CallEvents) -> RunningCall:
         """Begin a call."""
-        running = _ThinCall(self, events)
-        self._clock.callLater(ANSWER_S, self._answer, call, running)
+        running = _LimitedCall(self, events)
+        self._clock.callLater(RESPONSE_DELAY_S, self._answer, call, running)
         return running
 
     def close_idle(self, address: str) -> None:
         """Do nothing: there are no connections."""
 
-    def _answer(self, call: EndpointCall, running: "_ThinCall") -> None:
+    def _answer(self, call: EndpointCall, running: "_LimitedCall") -> None:
         url = urlsplit(call.target.decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         topic = query.get("topic", "")
         match url.path:
             case "/-/log-read":
                 wait_s = int(query["waitMs"]) / 1000
-                found = self._store.records(topic, 0, int(query["from"]), wait_s)
-                found.addCallback(running.begin)
+                found = self._store.wait_for_records(topic, 0, int(query["from"]), wait_s)
+                found.addCallback(running.start_response)
             case "/-/log-newest":
-                running.begin(json.encode(self._store.newest_page(topic, query.get("after", ""))))
+                running.start_response(
+                    json.encode(self._store.newest_page(topic, query.get("after", "")))
+                )
             case _:
                 raise ValueError(f"not known here: {url.path}")
 
-    def carry(self, size: int, arrived: Callable[[], None]) -> None:
+    def transfer(self, size: int, arrived: Callable[[], None]) -> None:
         """Call back when so many bytes have come over the link."""
         begin_s = max(self._free_s, self._clock.seconds() - CLOCK_STEP_S)
         self._free_s = begin_s + size / self._bytes_per_s
         self._clock.callLater(max(0.0, self._free_s - self._clock.seconds()), arrived)
 
 
-class _ThinCall:
+class _LimitedCall:
     """One call; a `RunningCall`."""
 
-    def __init__(self, link: ThinLink, events: CallEvents) -> None:
+    def __init__(self, link: LimitedLink, events: CallEvents) -> None:
         self._link = link
         self._events: CallEvents | None = events
         self._body = b""
 
-    def begin(self, body: bytes) -> None:
+    def start_response(self, body: bytes) -> None:
         """Send head and body."""
         if self._events is None:
             return
@@ -97,12 +99,12 @@
         if not self._body:
             self._events.on_end()
             return
-        self._link.carry(len(self._body[:PIECE_BYTES]), self._on_piece)
+        self._link.transfer(len(self._body[:CHUNK_BYTES]), self._on_piece)
 
     def _on_piece(self) -> None:
         if self._events is None or self._link.is_stalled:
             return
-        piece, self._body = self._body[:PIECE_BYTES], self._body[PIECE_BYTES:]
+        piece, self._body = self._body[:CHUNK_BYTES], self._body[CHUNK_BYTES:]
         self._link.received_bytes += len(piece)
         self._events.on_data(piece)
         self._carry_next()
--- a/umberhitch/platform/standins/_store.py
+++ b/umberhitch/platform/standins/_store.py
@@ -13,9 +13,9 @@
 
 __all__ = ["StoreFaults", "StoreStandin"]
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 OFFSETS = struct.Struct(">QQ")
-PARTS = 24
+PARTITIONS = 24
 MAX_WAIT_MS = 30_000
 
 
@@ -75,7 +75,7 @@
         """Append a keyed record, as operators and endpoints do."""
         self._append(topic, 0, [bytes([len(key)]) + key.encode() + value])
 
-    def forget_history(self, topic: str) -> None:
+    def trim_history(self, topic: str) -> None:
         """Drop the records of a topic; the newest of each key stays."""
         part = self._part(topic, 0)
         part.first = len(part.records)
@@ -134,9 +134,11 @@
         if start < first:
             return send_json(request, 410, {"firstOffset": first})
         wait_s = int(request.args.get(b"waitMs", [b"0"])[0]) / 1000
-        return self.records(topic, number, start, wait_s)
+        return self.wait_for_records(topic, number, start, wait_s)
 
-    def records(self, topic: str, number: int, start: int, wait_s: float) -> Deferred[bytes]:
+    def wait_for_records(
+        self, topic: str, number: int, start: int, wait_s: float
+    ) -> Deferred[bytes]:
         """Return the raw records from an offset on, as soon as there is one or the wait is over."""
         part = self._part(topic, number)
         wait_s = min(MAX_WAIT_MS / 1000, wait_s)
@@ -219,7 +221,7 @@
 
     def _owners(self, group: _Group) -> list[list[Any]]:
         members = self._members(group)
-        places = [(topic, number) for topic in group.topics for number in range(PARTS)]
+        places = [(topic, number) for topic in group.topics for number in range(PARTITIONS)]
         return [
             [topic, number, members[index % len(members)], 0]
             for index, (topic, number) in enumerate(places)
@@ -235,8 +237,8 @@
     records = []
     at = 0
     while at < len(data):
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
+        (length,) = LENGTH_PREFIX.unpack_from(data, at)
+        at += LENGTH_PREFIX.size
         records.append(data[at : at + length])
         at += length
     return records
@@ -244,5 +246,5 @@
 
 def _raw(part: _Part, start: int) -> bytes:
     records = part.records[start:]
-    framed = [LENGTH.pack(len(record)) + record for record in records]
+    framed = [LENGTH_PREFIX.pack(len(record)) + record for record in records]
     return OFFSETS.pack(len(part.records), part.first) + b"".join(framed)
--- a/umberhitch/platform/standins/client.py
+++ b/umberhitch/platform/standins/client.py
@@ -11,10 +11,10 @@
 
 from msgspec import json
 
-__all__ = ["EVENTS", "KEY", "Answer", "LocalPlatform", "RouterProcess", "eventually"]
+__all__ = ["API_KEY", "COMPLETE_STREAM", "Answer", "LocalPlatform", "RouterProcess", "wait_until"]
 
-KEY = "k1"
-ROUTE = {
+API_KEY = "k1"
+ROUTE_DEFAULTS = {
     "host": "models.example",
     "service": "svc",
     "timeoutMs": 8000,
@@ -23,10 +23,22 @@
     "public": False,
 }
 ROUTES = [
-    {**ROUTE, "name": "look", "pathPrefix": "/look/", "kind": "idempotent", "maxAttempts": 2},
-    {**ROUTE, "name": "order", "pathPrefix": "/order/", "kind": "non_idempotent", "maxAttempts": 2},
     {
-        **ROUTE,
+        **ROUTE_DEFAULTS,
+        "name": "look",
+        "pathPrefix": "/look/",
+        "kind": "idempotent",
+        "maxAttempts": 2,
+    },
+    {
+        **ROUTE_DEFAULTS,
+        "name": "order",
+        "pathPrefix": "/order/",
+        "kind": "non_idempotent",
+        "maxAttempts": 2,
+    },
+    {
+        **ROUTE_DEFAULTS,
         "name": "draft",
         "pathPrefix": "/draft/",
         "kind": "streaming",
@@ -36,16 +48,16 @@
         "sizes": ["small", "large"],
     },
 ]
-EVENTS = b"".join(b"id: %d\ndata: e%d\n\n" % (each, each) for each in range(1, 5))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: e%d\n\n" % (each, each) for each in range(1, 5))
 
 COLD_START_S = 3.0
-LIMIT_S = 40.0
+MAX_WAIT_S = 40.0
 """Longest wait for anything; far more than it takes, so that a busy machine changes no verdict."""
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 LOOPBACK = "127.0.0.1:0"
 
 
-def eventually(check: Callable[[], Any]) -> Any:
+def wait_until(check: Callable[[], Any]) -> Any:
     """Return what a check returns as soon as it is true.
 
     Raises
@@ -53,12 +65,12 @@
     TimeoutError
         If it never is.
     """
-    end_s = monotonic() + LIMIT_S
+    end_s = monotonic() + MAX_WAIT_S
     while monotonic() < end_s:
         found = check()
         if found:
             return found
-        sleep(POLL_S)
+        sleep(POLL_INTERVAL_S)
     raise TimeoutError("never came true")
 
 
@@ -69,14 +81,14 @@
     status: int
     body: bytes
     headers: dict[str, str]
-    is_whole: bool = True
+    is_complete: bool = True
 
 
 def call(
     address: str, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Answer:
     """Make one HTTP call on a connection of its own."""
-    connection = HTTPConnection(address, timeout=LIMIT_S)
+    connection = HTTPConnection(address, timeout=MAX_WAIT_S)
     try:
         connection.request(method, path, body or None, headers or {})
         response = connection.getresponse()
@@ -85,9 +97,9 @@
             return Answer(response.status, response.read(), found)
         except (HTTPException, OSError) as exc:
             partial = getattr(exc, "partial", b"")
-            return Answer(response.status, partial, found, is_whole=False)
+            return Answer(response.status, partial, found, is_complete=False)
     except (HTTPException, OSError):
-        return Answer(0, b"", {}, is_whole=False)
+        return Answer(0, b"", {}, is_complete=False)
     finally:
         connection.close()
 
@@ -108,11 +120,11 @@
         """Return the router's status page."""
         return json.decode(self.page("/status"))
 
-    def signals(self, kind: str) -> list[dict[str, Any]]:
+    def endpoint_signals(self, kind: str) -> list[dict[str, Any]]:
         """Return what endpoints have said of one kind, as it stands at the router."""
         return [each for each in self.status()["endpoint_signals"] if each["signal"] == kind]
 
-    def burn(self) -> dict[str, Any]:
+    def burn_report(self) -> dict[str, Any]:
         """Return the burn report."""
         return json.decode(self.page("/burn.json"))
 
@@ -120,7 +132,7 @@
         """Return one of the router's pages."""
         return call(self.addresses["pages"], "GET", path).body
 
-    def ask(
+    def send_request(
         self,
         path: str,
         call_id: str,
@@ -180,7 +192,9 @@
         assert answer.status == 200, answer
         return json.decode(answer.body)
 
-    def publish(self, number: int, keys: tuple[str, ...] = (KEY,), cold_rate: float = 0.0) -> None:
+    def publish(
+        self, number: int, keys: tuple[str, ...] = (API_KEY,), cold_rate: float = 0.0
+    ) -> None:
         """Publish a configuration with three routes, one of each kind, and one customer's keys.
 
         With a ``cold_rate`` its endpoints may be cold, and bear so many requests a second then.
@@ -206,15 +220,15 @@
         """Let an endpoint be cold from now on, and say so."""
         self.control("POST", f"/endpoints/{name}/cold", {"seconds": seconds, "rate": rate})
 
-    def has_ended(self, name: str) -> bool:
+    def has_crashed(self, name: str) -> bool:
         """Return whether an endpoint's process has ended."""
         return bool(self.control("GET", f"/endpoints/{name}/ended"))
 
-    def take_out(self, zone: str) -> None:
+    def evacuate_zone(self, zone: str) -> None:
         """Take an availability zone out of service."""
         self.control("POST", f"/operator/evacuate/{zone}", {})
 
-    def take_back(self, zone: str) -> None:
+    def restore_zone(self, zone: str) -> None:
         """Take it back into service."""
         answer = call(self._control, "POST", f"/operator/evacuate/{zone}")
         assert answer.status == 200, answer
@@ -232,9 +246,9 @@
         """Let an endpoint break streams off after so many events."""
         self.control("POST", f"/endpoints/{name}/faults", {"break_after": after_events})
 
-    def take_store_away(self, is_away: bool) -> None:
+    def set_store_down(self, is_down: bool) -> None:
         """Let the store refuse every call, or serve again."""
-        self.control("POST", "/store/faults", {"is_down": is_away})
+        self.control("POST", "/store/faults", {"is_down": is_down})
 
     def runs(self, endpoint: str) -> list[dict[str, Any]]:
         """Return what has run on an endpoint."""
@@ -244,17 +258,17 @@
         """Return what has arrived at an endpoint, refused or not."""
         return self.control("GET", f"/endpoints/{endpoint}/arrivals")
 
-    def name_limit(self, endpoint: str, rate: float | None) -> None:
+    def set_rate_limit(self, endpoint: str, rate: float | None) -> None:
         """Let an endpoint name the requests a second that it takes, or none any more."""
         self.control("POST", f"/endpoints/{endpoint}/faults", {"limit_rate": rate})
 
-    def say_leaving(self, name: str) -> None:
+    def signal_draining(self, name: str) -> None:
         """Let an endpoint say in its replies that it leaves; its entry stays as it is."""
         self.control("POST", f"/endpoints/{name}/faults", {"is_leaving": True})
 
-    def ask_for_rest(self, name: str, rest_s: float | None) -> None:
+    def request_backoff(self, name: str, backoff_s: float | None) -> None:
         """Let an endpoint refuse everything and want nothing for so long; None ends that."""
-        self.control("POST", f"/endpoints/{name}/faults", {"rest_s": rest_s})
+        self.control("POST", f"/endpoints/{name}/faults", {"rest_s": backoff_s})
 
     def start_router(
         self,
@@ -278,7 +292,7 @@
             "zone": "a",
             "listen": dict.fromkeys(("callers", "readiness", "pages", "link"), LOOPBACK),
             "store": store or self.store,
-            "drain_s": LIMIT_S,
+            "drain_s": MAX_WAIT_S,
             "drain_notice_s": 6.0,
         }
         path = self.folder / f"{name}.json"
@@ -288,10 +302,10 @@
         with log.open("ab") as sink:
             begin = sink.tell()
             process = subprocess.Popen(command, stderr=sink)
-        addresses = eventually(lambda: _addresses(log.read_bytes()[begin:]))
+        addresses = wait_until(lambda: _addresses(log.read_bytes()[begin:]))
         router = RouterProcess(process, addresses)
         self.routers.append(router)
-        eventually(lambda: router.is_ready)
+        wait_until(lambda: router.is_ready)
         return router
 
 
--- a/umberhitch/platform/tests/thin_links.py
+++ b/umberhitch/platform/tests/limited_links.py
@@ -3,21 +3,28 @@
 from msgspec import json
 
 from umberhitch.platform import StoreClient, make_operator_feed
-from umberhitch.platform.standins import StoreStandin, ThinLink
+from umberhitch.platform.standins import LimitedLink, StoreStandin
 from umberhitch.testing import DirectRouter, DirectWorld
 
-__all__ = ["BOUND_S", "FAST_LINK", "LARGE", "LARGER", "SLOW_LINK", "ThinWorld"]
+__all__ = [
+    "FAST_LINK",
+    "LARGER_ROUTES",
+    "LARGE_ROUTES",
+    "MAX_PROPAGATION_S",
+    "SLOW_LINK",
+    "LimitedLinkWorld",
+]
 
 SLOW_LINK = 5e6 / 8
 """Bytes a second of the slowest links seen, 5 Mbit/s."""
 FAST_LINK = 100e6 / 8
-LARGE = 4250
+LARGE_ROUTES = 4250
 """Routes of the largest configuration seen, 0.8 MB."""
-LARGER = 5250
+LARGER_ROUTES = 5250
 """Routes of a configuration that is larger than any seen, 1.0 MB."""
 TOPIC = "keyed.op"
 STEP_S = 0.01
-BOUND_S = 3.0
+MAX_PROPAGATION_S = 3.0
 """A configuration is in force everywhere within this."""
 
 
@@ -50,34 +57,37 @@
     )
 
 
-class ThinWorld(DirectWorld):
+class LimitedLinkWorld(DirectWorld):
     """A world whose configurations come from the stand-in of the store, over thin links."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
         self.store = StoreStandin(self.clock)
-        self.links: dict[str, ThinLink] = {}
+        self.links: dict[str, LimitedLink] = {}
         self.add_endpoint("e1")
 
     def publish(self, number: int, routes: int) -> None:
         """Put a configuration in force."""
         self.store.put(TOPIC, "config", encode_configuration(number, routes))
 
-    def add_thin_router(self, name: str, bytes_per_s: float, **settings: object) -> DirectRouter:
+    def add_limited_router(self, name: str, bytes_per_s: float, **settings: object) -> DirectRouter:
         """Start a router with a link of its own."""
-        link = self.links[name] = ThinLink(self.store, self.clock, bytes_per_s)
+        link = self.links[name] = LimitedLink(self.store, self.clock, bytes_per_s)
         feed = make_operator_feed(StoreClient(link, self.clock, "10.0.0.1:80"))  # type: ignore
         settings.setdefault("link_mbps", bytes_per_s * 8 / 1e6)
         return self.add_router(name, operator_port=feed, **settings)
 
-    def numbers(self) -> list[int]:
+    def configuration_numbers(self) -> list[int]:
         """Return the number of the configuration in force at each router, 0 for none."""
         tables = [router.gateway.table for router in self.routers.values()]
         return [0 if table is None else table.document.number for table in tables]
 
-    def in_force_s(self, number: int, longest_s: float = 20.0) -> float:
+    def in_force_s(self, number: int, max_wait_s: float = 20.0) -> float:
         """Let time pass until a configuration is in force at all routers; return how long."""
         begin_s = self.clock.seconds()
-        while min(self.numbers()) < number and self.clock.seconds() - begin_s < longest_s:
+        while (
+            min(self.configuration_numbers()) < number
+            and self.clock.seconds() - begin_s < max_wait_s
+        ):
             self.clock.advance(STEP_S)
         return self.clock.seconds() - begin_s
--- a/umberhitch/platform/tests/test_entries.py
+++ b/umberhitch/platform/tests/test_entries.py
@@ -15,7 +15,7 @@
 from umberhitch.core.direct import EndpointEntry
 from umberhitch.errors import ConfigError, LogUnavailableError
 from umberhitch.platform._documents import decode_endpoint
-from umberhitch.platform._feed import KeyedFeed, _rows
+from umberhitch.platform._feed import KeyedFeed, _parse_records
 from umberhitch.ports.direct import FeedBatch
 
 GOOD: dict[str, Any] = {
@@ -73,7 +73,7 @@
 
 
 def _since(store: _Store) -> FeedBatch[EndpointEntry]:
-    feed = KeyedFeed(store, "keyed.servers", decode_endpoint, broken_is_gone=True)  # type: ignore[arg-type]
+    feed = KeyedFeed(store, "keyed.servers", decode_endpoint, invalid_deletes=True)  # type: ignore[arg-type]
     found: list[FeedBatch[EndpointEntry]] = []
     done: Deferred[FeedBatch[EndpointEntry]] = ensureDeferred(feed.since(0, 0.0, 1.0))
     done.addCallback(found.append)
@@ -176,6 +176,6 @@
 @given(st.binary(max_size=60))
 def test_an_answer_of_any_bytes_is_read_or_reported(data):
     try:
-        _rows(data, 0)
+        _parse_records(data, 0)
     except LogUnavailableError:
         pass
--- a/umberhitch/platform/tests/test_large_documents.py
+++ b/umberhitch/platform/tests/test_large_documents.py
@@ -9,13 +9,13 @@
 import pytest
 from msgspec import json
 
-from umberhitch.platform.tests.thin_links import (
-    BOUND_S,
+from umberhitch.platform.tests.limited_links import (
     FAST_LINK,
-    LARGE,
-    LARGER,
+    LARGE_ROUTES,
+    LARGER_ROUTES,
+    MAX_PROPAGATION_S,
     SLOW_LINK,
-    ThinWorld,
+    LimitedLinkWorld,
 )
 
 
@@ -25,99 +25,99 @@
 
     At a start it is all the longer, since the store encodes the newest values in base64.
     """
-    world = ThinWorld()
-    world.publish(1, LARGE if is_start else 10)
-    world.add_thin_router("r0", FAST_LINK)
+    world = LimitedLinkWorld()
+    world.publish(1, LARGE_ROUTES if is_start else 10)
+    world.add_limited_router("r0", FAST_LINK)
     world.run(2.0)
-    world.add_thin_router("r1", SLOW_LINK)
+    world.add_limited_router("r1", SLOW_LINK)
     if not is_start:
         world.run(2.0)
-        world.publish(2, LARGE)
-    assert world.in_force_s(1 if is_start else 2) < BOUND_S
+        world.publish(2, LARGE_ROUTES)
+    assert world.in_force_s(1 if is_start else 2) < MAX_PROPAGATION_S
     assert world.links["r1"].received_bytes < 2_000_000
 
 
 def test_of_configurations_in_quick_succession_only_the_newest_is_read():
     """Each was read whole, one after the other: what was left to read grew meanwhile."""
-    world = ThinWorld()
+    world = LimitedLinkWorld()
     world.publish(1, 2000)
-    world.add_thin_router("r1", SLOW_LINK)
+    world.add_limited_router("r1", SLOW_LINK)
     world.run(2.0)
     for number in range(2, 14):
         world.publish(number, 2000)
         world.run(0.33)
-    assert world.in_force_s(13) < BOUND_S
+    assert world.in_force_s(13) < MAX_PROPAGATION_S
 
 
 def test_what_else_operators_wrote_is_not_passed_over_with_configurations():
-    world = ThinWorld()
+    world = LimitedLinkWorld()
     world.publish(1, 2000)
-    world.add_thin_router("r1", SLOW_LINK)
+    world.add_limited_router("r1", SLOW_LINK)
     world.run(2.0)
     world.publish(2, 2000)
     world.run(0.1)
     order = json.encode({"service": "svc", "target": "v2", "durationS": 30})
     world.store.put("keyed.op", "rollout/svc", order)
     world.publish(3, 2000)
-    assert world.in_force_s(3) < BOUND_S
+    assert world.in_force_s(3) < MAX_PROPAGATION_S
     world.run(0.5)
     assert world.routers["r1"].trials.is_any_open()
 
 
 def test_a_large_configuration_behind_which_an_order_stands_is_read():
-    world = ThinWorld()
+    world = LimitedLinkWorld()
     world.publish(1, 2000)
-    world.add_thin_router("r1", SLOW_LINK)
+    world.add_limited_router("r1", SLOW_LINK)
     world.run(2.0)
     world.publish(2, 2000)
     world.publish(3, 2000)
     world.store.put("keyed.op", "rollout/other", b"")
-    assert world.in_force_s(3) < BOUND_S
+    assert world.in_force_s(3) < MAX_PROPAGATION_S
 
 
 @pytest.mark.parametrize("is_any_fast", [False, True])
 @pytest.mark.parametrize("phase_s", [0.0, 0.1, 0.4, 1.0])
 def test_a_reader_on_a_slow_link_does_not_hold_up_the_others(is_any_fast, phase_s):
     """The first by name read for all, and told the others when it had the whole: two transfers."""
-    world = ThinWorld()
+    world = LimitedLinkWorld()
     world.publish(1, 10)
     for name in ("r0", "r1", "r2"):
-        world.add_thin_router(name, SLOW_LINK)
+        world.add_limited_router(name, SLOW_LINK)
     if is_any_fast:
-        world.add_thin_router("r3", FAST_LINK)
+        world.add_limited_router("r3", FAST_LINK)
     world.run(5.0 + phase_s)
-    world.publish(2, LARGER)
-    assert world.in_force_s(2) < BOUND_S
+    world.publish(2, LARGER_ROUTES)
+    assert world.in_force_s(2) < MAX_PROPAGATION_S
 
 
 @pytest.mark.parametrize("path", ["/p00001/x", "/n2/x"])
 @pytest.mark.parametrize("is_alone", [False, True])
 def test_a_configuration_that_is_known_to_be_replaced_does_not_serve_past_the_bound(path, is_alone):
     """Requests were served, or told that there is no such route, by one known to be old."""
-    world = ThinWorld()
+    world = LimitedLinkWorld()
     world.publish(1, 10)
     if not is_alone:
-        world.add_thin_router("r0", FAST_LINK)
-    slow = world.add_thin_router("r1", SLOW_LINK / 10, proof_age_s=30.0)
+        world.add_limited_router("r0", FAST_LINK)
+    slow = world.add_limited_router("r1", SLOW_LINK / 10, proof_age_s=30.0)
     world.run(5.0)
-    world.publish(2, LARGE)
-    world.run(BOUND_S)
+    world.publish(2, LARGE_ROUTES)
+    world.run(MAX_PROPAGATION_S)
     asked = world.ask(slow, path)
     world.run(0.1)
     # Where a peer tells what has changed, the new one is in force.
-    assert (asked.status, world.numbers()[-1]) == ((503, 1) if is_alone else (200, 2))
+    assert (asked.status, world.configuration_numbers()[-1]) == ((503, 1) if is_alone else (200, 2))
 
 
 def test_a_change_costs_the_others_what_changed():
     """Each read the whole from the store again: 0.8 MB, and 1.3 s of its callers' link."""
-    world = ThinWorld()
-    world.publish(1, LARGE)
-    world.add_thin_router("r0", FAST_LINK)
-    world.add_thin_router("r1", SLOW_LINK)
+    world = LimitedLinkWorld()
+    world.publish(1, LARGE_ROUTES)
+    world.add_limited_router("r0", FAST_LINK)
+    world.add_limited_router("r1", SLOW_LINK)
     world.run(5.0)
     read_bytes = world.links["r1"].received_bytes
     told_bytes = world.network.bytes
-    world.publish(2, LARGE)
+    world.publish(2, LARGE_ROUTES)
     assert world.in_force_s(2) < 0.5
     assert world.links["r1"].received_bytes - read_bytes < 1000
     assert world.network.bytes - told_bytes < 10_000
--- a/umberhitch/platform/tests/test_pages.py
+++ b/umberhitch/platform/tests/test_pages.py
@@ -39,7 +39,7 @@
     fleet.world.run(3.0)
     pages = GatewayPages(fleet.all_routers[0].gateway, dict)
     assert b"umberhitch_requests_held 1\n" in get(pages, "/metrics")
-    key = fleet.all_routers[0].gateway.crashes.record.suspects()[0]
+    key = fleet.all_routers[0].gateway.crash_guard.record.suspects()[0]
     assert f'"key":"{key}"'.encode() in get(pages, "/held")
     assert get(pages, f"/held/release/{key}").startswith(b"HTTP/1.1 404")
     assert get(pages, f"/held/release/{key}", "POST").startswith(b"HTTP/1.1 200")
@@ -58,7 +58,7 @@
         "rate": HeadSignals(limit=Rate(2.0), unknown=((b"server-mood", b"low"),)),
     }
     for name, signals in said.items():
-        gateway.gate.heard(name, ReplyHead(503, not_run=True, signals=signals))
+        gateway.gate.apply_head(name, ReplyHead(503, not_run=True, signals=signals))
     pages = GatewayPages(gateway, dict)
     status = json.decode(get(pages, "/status").partition(b"\r\n\r\n")[2])
     rows = {row["endpoint"]: row for row in status["endpoint_signals"]}
--- a/umberhitch/platform/tests/test_processes.py
+++ b/umberhitch/platform/tests/test_processes.py
@@ -9,11 +9,11 @@
 import pytest
 
 from umberhitch.platform.standins.client import (
-    EVENTS,
-    KEY,
+    API_KEY,
+    COMPLETE_STREAM,
     LocalPlatform,
     RouterProcess,
-    eventually,
+    wait_until,
 )
 
 
@@ -35,37 +35,37 @@
 
 
 def settle(router: RouterProcess, endpoints: int) -> None:
-    eventually(lambda: router.status()["endpoints"] == endpoints)
+    wait_until(lambda: router.status()["endpoints"] == endpoints)
 
 
 def test_a_calm_day(platform):
     router = platform.start_router("r1")
     settle(router, 2)
-    look = router.ask("/look/x", "a1", KEY)
+    look = router.ask("/look/x", "a1", API_KEY)
     assert (look.status, look.headers["response-signature"].startswith("signed.")) == (200, True)
-    order = router.ask("/order/x", "a2", KEY)
+    order = router.ask("/order/x", "a2", API_KEY)
     assert (order.status, ran(platform, "a2")) == (200, 1)
-    draft = router.ask("/draft/x", "a3", KEY, model="*")
-    assert (draft.status, draft.body, draft.is_whole) == (200, EVENTS, True)
+    draft = router.ask("/draft/x", "a3", API_KEY, model="*")
+    assert (draft.status, draft.body, draft.is_whole) == (200, COMPLETE_STREAM, True)
     assert {run["customer"] for run in platform.runs("e1") + platform.runs("e2")} == {"acme"}
-    assert router.ask("/none/x", "a4", KEY).status == 404
+    assert router.ask("/none/x", "a4", API_KEY).status == 404
     assert router.ask("/look/x", "a5", "stolen").status == 401
 
 
 def test_operators_read_the_burn_of_all_routers_from_any(platform):
     routers = [platform.start_router(f"r{number}") for number in range(2)]
-    eventually(lambda: all(router.status()["routers"] == 2 for router in routers))
+    wait_until(lambda: all(router.status()["routers"] == 2 for router in routers))
     for number, router in enumerate(routers):
         settle(router, 2)
-        assert router.ask("/look/x", f"k{number}", KEY).status == 200
-    report = eventually(lambda: _whole_burn(routers[0]))
+        assert router.ask("/look/x", f"k{number}", API_KEY).status == 200
+    report = wait_until(lambda: _whole_burn(routers[0]))
     (row,) = report["rows"]
     assert (row["customer"], row["class"], row["requests"], row["bad"]) == ("acme", "look", 2, 0)
     assert b"<h1>Service-level burn</h1>" in routers[1].page("/burn")
 
 
 def _whole_burn(router: RouterProcess) -> dict | None:
-    report = router.burn()
+    report = router.burn_report()
     return report if report["routers"] == ["r0", "r1"] else None
 
 
@@ -74,13 +74,13 @@
     settle(router, 2)
     for name in ("e1", "e2"):
         platform.control("POST", f"/endpoints/{name}/faults", {"break_after": 2})
-    broken = router.ask("/draft/x", "b1", KEY, model="small")
-    assert (broken.body, broken.is_whole) == (EVENTS, True)
+    broken = router.ask("/draft/x", "b1", API_KEY, model="small")
+    assert (broken.body, broken.is_whole) == (COMPLETE_STREAM, True)
     for name in ("e1", "e2"):
         faults = {"break_after": 0, "confidence": 0}
         platform.control("POST", f"/endpoints/{name}/faults", faults)
-    doubtful = router.ask("/draft/x", "b2", KEY, model="*")
-    assert (doubtful.body, doubtful.is_whole) == (EVENTS, True)
+    doubtful = router.ask("/draft/x", "b2", API_KEY, model="*")
+    assert (doubtful.body, doubtful.is_whole) == (COMPLETE_STREAM, True)
     models = [
         run["model"]
         for name in ("e1", "e2")
@@ -94,17 +94,17 @@
     router = platform.start_router("r1")
     settle(router, 2)
     platform.publish(2, keys=("k2",))
-    eventually(lambda: router.status()["configuration"] == 2)
-    assert router.ask("/look/x", "c1", KEY).status == 401
+    wait_until(lambda: router.status()["configuration"] == 2)
+    assert router.ask("/look/x", "c1", API_KEY).status == 401
     assert ran(platform, "c1") == 0
     platform.control("POST", "/endpoints/e1/state/draining")
-    eventually(lambda: _reaches_only(platform, router, "e2"))
+    wait_until(lambda: _reaches_only(platform, router, "e2"))
 
 
 def _reaches_only(platform: LocalPlatform, router: RouterProcess, name: str) -> bool:
     before = {each: len(platform.runs(each)) for each in ("e1", "e2")}
     for number in range(4):
-        router.ask("/look/x", f"d{number}", "k2")
+        router.send_request("/look/x", f"d{number}", "k2")
     after = {each: len(platform.runs(each)) for each in ("e1", "e2")}
     return all(after[each] == before[each] for each in after if each != name)
 
@@ -114,33 +114,33 @@
     settle(router, 2)
     for name in ("e1", "e2"):
         platform.control("POST", f"/endpoints/{name}/faults", {"is_shedding": True})
-    refused = router.ask("/order/x", "f1", KEY)
+    refused = router.ask("/order/x", "f1", API_KEY)
     assert (refused.status, ran(platform, "f1")) == (503, 0)
     assert float(refused.headers["retry-after"]) > 0
 
 
 def test_a_roll_out_of_a_bad_version_survives_the_loss_of_a_router(platform):
     routers = [platform.start_router(f"r{number}") for number in range(2)]
-    eventually(lambda: all(router.status()["routers"] == 2 for router in routers))
+    wait_until(lambda: all(router.status()["routers"] == 2 for router in routers))
     platform.add_endpoint("n1", "v2")
     platform.control("POST", "/endpoints/n1/faults", {"status": 500})
     for router in routers:
         settle(router, 3)
     order = {"service": "svc", "target": "v2", "durationS": 30}
     platform.control("POST", "/operator/rollout/svc", order)
-    eventually(lambda: platform.control("GET", "/status/rollout/svc"))
+    wait_until(lambda: platform.control("GET", "/status/rollout/svc"))
     routers[0].kill()
     numbers = iter(range(100_000))
 
     def is_turned_back() -> bool:
         for _ in range(20):
-            routers[1].ask("/look/x", f"g{next(numbers)}", KEY)
+            routers[1].ask("/look/x", f"g{next(numbers)}", API_KEY)
         return platform.control("GET", "/status/rollout/svc")["state"] == "rolled_back"
 
-    eventually(is_turned_back)
+    wait_until(is_turned_back)
     before = len(platform.runs("n1"))
     for number in range(20):
-        assert routers[1].ask("/look/x", f"h{number}", KEY).status == 200
+        assert routers[1].ask("/look/x", f"h{number}", API_KEY).status == 200
     assert len(platform.runs("n1")) == before
 
 
@@ -154,7 +154,7 @@
     again = platform.start_router("r0")
     assert again.status()["configuration"] == 5
     settle(again, 2)
-    assert again.ask("/look/x", "i1", KEY).status == 401
+    assert again.ask("/look/x", "i1", API_KEY).status == 401
     assert again.ask("/look/x", "i2", "k5").status == 200
 
 
@@ -162,12 +162,12 @@
     router = platform.start_router("r1")
     settle(router, 2)
     platform.control("POST", "/store/faults", {"is_down": True})
-    eventually(lambda: router.ask("/look/x", "j1", KEY).status == 503)
+    wait_until(lambda: router.ask("/look/x", "j1", API_KEY).status == 503)
     platform.control("POST", "/store/faults", {"is_down": False})
-    eventually(lambda: router.ask("/look/x", "j2", KEY).status == 200)
+    wait_until(lambda: router.ask("/look/x", "j2", API_KEY).status == 200)
     router.process.send_signal(signal.SIGTERM)
-    eventually(lambda: not router.is_ready)
-    late = router.ask("/look/x", "j3", KEY)
+    wait_until(lambda: not router.is_ready)
+    late = router.ask("/look/x", "j3", API_KEY)
     assert (late.status, late.headers.get("connection")) == (200, "close")
     assert router.process.wait() == 0
 
@@ -182,7 +182,7 @@
     for name in names[2:]:
         platform.add_endpoint(name)
     routers = [platform.start_router(f"r{number}") for number in range(2)]
-    eventually(lambda: all(router.status()["routers"] == 2 for router in routers))
+    wait_until(lambda: all(router.status()["routers"] == 2 for router in routers))
     for router in routers:
         settle(router, len(names))
     for name in names:
@@ -193,7 +193,7 @@
         nonlocal sent
         sent += 1
         router = routers[sent % 2]
-        return router.ask("/order/x", f"p{sent}", KEY, body=b"crash").status
+        return router.ask("/order/x", f"p{sent}", API_KEY, body=b"crash").status
 
     def ran_in_all() -> int:
         runs = [run["call_id"] for name in names for run in platform.runs(name)]
@@ -204,13 +204,13 @@
             ask()
         return all(router.status()["held"] == 1 for router in routers)
 
-    eventually(is_held)
+    wait_until(is_held)
     known = ran_in_all()
     assert known >= 3
     statuses = [ask() for _ in range(60)]
     assert ran_in_all() <= known + 2
     assert statuses.count(503) >= 58
-    eventually(lambda: routers[1].ask("/look/x", "fine", KEY).status == 200)
+    wait_until(lambda: routers[1].ask("/look/x", "fine", API_KEY).status == 200)
 
 
 def test_a_limit_that_an_endpoint_names_is_kept_by_all_routers_and_ends(platform):
@@ -219,22 +219,22 @@
     for router in routers:
         settle(router, 2)
     platform.name_limit("e2", 1.0)
-    eventually(lambda: _knows_limit(routers, [1.0]))
+    wait_until(lambda: _knows_limit(routers, [1.0]))
     began_s, before = monotonic(), len(platform.arrivals("e2"))
     for number in range(60):
-        assert routers[number % 2].ask("/look/x", f"l{number}", KEY).status == 200
+        assert routers[number % 2].ask("/look/x", f"l{number}", API_KEY).status == 200
     spans = 1 + (monotonic() - began_s) // 4.0
     assert len(platform.arrivals("e2")) - before <= spans * (1.5 * 1.0 * 4.0 + 5.0)
     platform.name_limit("e2", None)
-    eventually(lambda: _knows_limit(routers, []))
+    wait_until(lambda: _knows_limit(routers, []))
 
 
 def _knows_limit(routers: list[RouterProcess], rates: list[float]) -> bool:
     """Send calls so that the endpoint is heard, and return whether all routers know its rate."""
     for router in routers:
-        router.ask("/look/x", f"hear-{monotonic()}", KEY)
-        router.ask("/draft/x", f"hear-{monotonic()}", KEY, model="small")
-    return all([row["rate"] for row in each.signals("limit")] == rates for each in routers)
+        router.send_request("/look/x", f"hear-{monotonic()}", API_KEY)
+        router.send_request("/draft/x", f"hear-{monotonic()}", API_KEY, model="small")
+    return all([row["rate"] for row in each.endpoint_signals("limit")] == rates for each in routers)
 
 
 def test_endpoints_that_leave_or_rest_by_their_own_word_get_nothing_more(platform):
@@ -254,11 +254,11 @@
 
     def hear(number: int) -> None:
         call_id = f"hear-{number}-{monotonic()}"
-        routers[number % 2].ask("/draft/x", call_id, KEY, model="small")
+        routers[number % 2].ask("/draft/x", call_id, API_KEY, model="small")
 
-    eventually(have_heard)
+    wait_until(have_heard)
     before = [len(platform.arrivals(name)) for name in ("e3", "e4")]
     for number in range(60):
-        assert routers[number % 2].ask("/look/x", f"w{number}", KEY).status == 200
+        assert routers[number % 2].ask("/look/x", f"w{number}", API_KEY).status == 200
     assert [len(platform.arrivals(name)) for name in ("e3", "e4")] == before
     assert routers[0].status()["unknown_headers"] == {}
--- a/umberhitch/scenarios/_runner.py
+++ b/umberhitch/scenarios/_runner.py
@@ -152,7 +152,7 @@
         assert where is not None
         node = self.world.routers[router or next(iter(self.world.routers))]
         self._fetched[question] = ensureDeferred(
-            node.resume.fetch(where, record.options.customer, 0)
+            node.answer_fetcher.fetch(where, record.options.customer, 0)
         )
 
     # Operators
@@ -162,7 +162,7 @@
     ) -> None:
         """``at r1 withdraw m@1 as "change" if revision 3``"""
         node = self.world.routers[router]
-        self._changes[name or "-"] = node.change(self._change(change, name, revision))
+        self._changes[name or "-"] = node.submit_change(self._change(change, name, revision))
 
     def do_publish(self, step: Step, change: Step) -> None:
         """``direct withdraw m@1``: straight into the log, as a lost router may have done."""
--- a/umberhitch/scenarios/tests/test_mutations.py
+++ b/umberhitch/scenarios/tests/test_mutations.py
@@ -25,8 +25,8 @@
 from umberhitch.tasks import requests as requests_module
 from umberhitch.tasks import rollouts as rollouts_module
 from umberhitch.tasks.agent import Agent
-from umberhitch.tasks.bills import BillWriter
 from umberhitch.tasks.config_feed import ConfigFeed
+from umberhitch.tasks.usage_writer import UsageWriter
 
 PATHS = {path.stem: path for path in SCENARIO_FILES}
 
@@ -53,7 +53,7 @@
 
 
 def _router_forgets_bills(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(BillWriter, "write", lambda self, record, agents: None)
+    patch.setattr(UsageWriter, "write", lambda self, record, agents: None)
     patch.setattr(Agent, "_hand_over_usage", lambda self: None)
 
 
--- a/umberhitch/soak/_callers.py
+++ b/umberhitch/soak/_callers.py
@@ -71,7 +71,7 @@
         kind, key = rng.choice(KINDS), rng.choice(self._keys())
         model = "small" if kind == "draft" else None
         sent_s = monotonic()
-        answer = router.ask(f"/{kind}/x", call_id, key, model=model)
+        answer = router.send_request(f"/{kind}/x", call_id, key, model=model)
         return Record(
             call_id,
             kind,
@@ -80,6 +80,6 @@
             monotonic(),
             answer.status,
             answer.body,
-            answer.is_whole,
+            answer.is_complete,
             router.process.pid,
         )
--- a/umberhitch/soak/_faults.py
+++ b/umberhitch/soak/_faults.py
@@ -50,7 +50,7 @@
         case Fault.RELOAD:
             os.kill(router.process.process.pid, signal.SIGHUP)
         case Fault.STORE_DOWN:
-            platform.take_store_away(True)
+            platform.set_store_down(True)
             return lambda: _end_store_fault(deployment)
         case Fault.STORE_LOSES:
             platform.control("POST", "/store/faults", {"lose_answers": 3})
@@ -79,11 +79,11 @@
             return lambda: _end_limit(deployment, endpoint)
         case Fault.SAYS_LEAVING:
             _replace_endpoint(deployment, endpoint)
-            platform.say_leaving(endpoint)
+            platform.signal_draining(endpoint)
             return lambda: platform.drain_endpoint(endpoint)
         case Fault.REST:
-            platform.ask_for_rest(endpoint, REST_S[step.target % len(REST_S)])
-            return lambda: platform.ask_for_rest(endpoint, None)
+            platform.request_backoff(endpoint, REST_S[step.target % len(REST_S)])
+            return lambda: platform.request_backoff(endpoint, None)
         case Fault.DEPART:
             _depart(deployment, endpoint)
         case Fault.REBORN:
@@ -108,7 +108,7 @@
     end()
     deployment.platform.routers.remove(router.process)
     router.way.set_way(Way.OPEN)
-    deployment.platform.take_store_away(False)
+    deployment.platform.set_store_down(False)
     started = deployment.start(router.name, router.way)
     with deployment.lock:
         deployment.routers.append(started)
@@ -126,7 +126,7 @@
 
 
 def _end_store_fault(deployment: Deployment) -> None:
-    deployment.platform.take_store_away(False)
+    deployment.platform.set_store_down(False)
     deployment.sound_s = monotonic()
 
 
@@ -142,7 +142,7 @@
     outages = deployment.outages.setdefault(zone, [])
     if outages and outages[-1].until_s == float("inf"):
         return
-    deployment.platform.take_out(zone)
+    deployment.platform.evacuate_zone(zone)
     found = tuple(name for name, where in deployment.zone_of.items() if where == zone)
     outages.append(ZoneOutage(zone, found, monotonic()))
 
@@ -151,13 +151,13 @@
     outages = deployment.outages[zone]
     if outages[-1].until_s == float("inf"):
         outages[-1] = replace(outages[-1], until_s=monotonic())
-        deployment.platform.take_back(zone)
+        deployment.platform.restore_zone(zone)
 
 
 def _name_limit(deployment: Deployment, endpoint: str, rate: float) -> None:
     """Let an endpoint name a rate, which may replace the one that it named."""
     _end_limit(deployment, endpoint)
-    deployment.platform.name_limit(endpoint, rate)
+    deployment.platform.set_rate_limit(endpoint, rate)
     deployment.limits.setdefault(endpoint, []).append(LimitNamed(endpoint, rate, monotonic()))
 
 
@@ -165,7 +165,7 @@
     named = deployment.limits.get(endpoint, [])
     if named and named[-1].until_s == float("inf"):
         named[-1] = replace(named[-1], until_s=monotonic())
-        deployment.platform.name_limit(endpoint, None)
+        deployment.platform.set_rate_limit(endpoint, None)
 
 
 def _replace_endpoint(deployment: Deployment, endpoint: str) -> None:
--- a/umberhitch/soak/_mutations.py
+++ b/umberhitch/soak/_mutations.py
@@ -19,22 +19,22 @@
 
 def _promise_all() -> None:
     """What may have run is refused as not run."""
-    from umberhitch.tasks.direct.exchange import Exchange
+    from umberhitch.tasks.direct.proxied_request import ProxiedRequest
 
-    give_up = Exchange._give_up
+    give_up = ProxiedRequest._give_up
 
     def promise(self: Any, reason: str) -> None:
         self._may_have_run = False
         give_up(self, reason)
 
-    Exchange._give_up = promise  # type: ignore[method-assign]
+    ProxiedRequest._give_up = promise  # type: ignore[method-assign]
 
 
 def _end_broken() -> None:
     """A stream that broke off is ended as if it were complete."""
-    from umberhitch.tasks.direct.exchange import Exchange
+    from umberhitch.tasks.direct.proxied_request import ProxiedRequest
 
-    broken = Exchange._broken
+    broken = ProxiedRequest._broken
 
     def end(self: Any, detail: str) -> None:
         if not self._relay.is_streaming:
@@ -44,7 +44,7 @@
         self._relay.end(self._head)
         self._finish("done")
 
-    Exchange._broken = end  # type: ignore[method-assign]
+    ProxiedRequest._broken = end  # type: ignore[method-assign]
 
 
 def _keep_keys() -> None:
--- a/umberhitch/soak/_run.py
+++ b/umberhitch/soak/_run.py
@@ -9,7 +9,12 @@
 from pathlib import Path
 from time import monotonic, sleep
 
-from umberhitch.platform.standins.client import EVENTS, LocalPlatform, RouterProcess, eventually
+from umberhitch.platform.standins.client import (
+    COMPLETE_STREAM,
+    LocalPlatform,
+    RouterProcess,
+    wait_until,
+)
 from umberhitch.soak._callers import Callers
 from umberhitch.soak._checks import (
     Bounds,
@@ -161,7 +166,7 @@
     ]
     sound_s = deployment.sound_s
     departed = [Departure(e.endpoint, max(e.at_s, sound_s)) for e in deployment.departed]
-    found = check_requests(records, runs, EVENTS, deployment.revoked, departed, bounds)
+    found = check_requests(records, runs, COMPLETE_STREAM, deployment.revoked, departed, bounds)
     outages = [each for zone in deployment.outages.values() for each in zone]
     outages = [replace(each, at_s=max(each.at_s, sound_s)) for each in outages]
     found += check_zones(runs, outages, bounds)
@@ -181,7 +186,7 @@
     return found + [
         Finding("a cold endpoint is not rushed", f"{start.endpoint} has ended")
         for start in deployment.cold
-        if deployment.platform.has_ended(start.endpoint)
+        if deployment.platform.has_crashed(start.endpoint)
     ]
 
 
@@ -189,7 +194,7 @@
     """Wait until every router serves every kind, has the newest configuration and all endpoints."""
     for router in deployment.live():
         try:
-            eventually(partial(_is_normal, deployment, router))
+            wait_until(partial(_is_normal, deployment, router))
         except TimeoutError:
             status = router.status()
             return [Finding("all is back to normal", f"{status}")]
@@ -202,7 +207,7 @@
         return False
     key = deployment.keys[0]
     answers = [
-        router.ask(f"/{kind}/x", f"normal-{kind}-{monotonic()}", key, model=model)
+        router.send_request(f"/{kind}/x", f"normal-{kind}-{monotonic()}", key, model=model)
         for kind, model in (("look", None), ("order", None), ("draft", "small"))
     ]
     return all(answer.status == 200 for answer in answers)
--- a/umberhitch/tasks/agent.py
+++ b/umberhitch/tasks/agent.py
@@ -30,8 +30,8 @@
 )
 from umberhitch.tasks.agent_config import AgentConfig
 from umberhitch.tasks.agent_settings import AgentCounters, AgentSettings
-from umberhitch.tasks.loading import Loading
-from umberhitch.tasks.usage import UsageHold
+from umberhitch.tasks.loading import TargetLoader
+from umberhitch.tasks.usage import UnconfirmedUsage
 from umberhitch.wire import (
     URGENT_PRIORITY,
     AttemptAccepted,
@@ -62,12 +62,12 @@
 
 log = getLogger(__name__)
 
-BEAT_SLACK_S = 0.05
+HEARTBEAT_SLACK_S = 0.05
 """A heartbeat that is due this soon goes with the present round."""
 QUEUE_RETRY_AFTER_S = 1.0
-LEAST_SHARE = 0.01
+MIN_SHARE = 0.01
 """A customer with a share of 0 gets this, so that it is not shut out for ever."""
-LEAVING_RETRY_AFTER_S = 0.2
+DRAINING_RETRY_AFTER_S = 0.2
 
 
 @dataclass(slots=True)
@@ -111,11 +111,11 @@
         self._running: dict[AttemptId, AttemptEntry] = {}
         self._routers: dict[str, _Router] = {}
         self._watchers: dict[AttemptId, set[str]] = {}
-        self._loading = Loading(
-            backend, clock, settings.targets, settings.order_warm_up_s, self._on_targets
+        self._loading = TargetLoader(
+            backend, clock, settings.targets, settings.fencing_warm_up_s, self._on_targets
         )
         self._parked: list[tuple[str, Start, float]] = []
-        self._usage = UsageHold()
+        self._usage = UnconfirmedUsage()
         self._drained: Deferred[None] | None = None
         self._is_stopped = False
 
@@ -151,33 +151,33 @@
         self._expire_parked()
         self._expire_running()
         self._hand_over_usage()
-        self._clock.callLater(self.settings.beat_s, self._tick)
+        self._clock.callLater(self.settings.heartbeat_interval_s, self._tick)
 
     def _beat(self, is_news: bool = True) -> None:
         """Tell the routers how things stand: news at once, else at the pace that each asks for."""
         now = self._clock.seconds()
-        beat = self.beat()
+        beat = self.make_heartbeat()
         for name, router in list(self._routers.items()):
-            if now - router.heard_s > self.settings.router_silence_s * max(1.0, router.beat_s):
+            if now - router.heard_s > self.settings.router_timeout_s * max(1.0, router.beat_s):
                 del self._routers[name]
-            elif is_news or now - router.told_s >= router.beat_s - BEAT_SLACK_S:
+            elif is_news or now - router.told_s >= router.beat_s - HEARTBEAT_SLACK_S:
                 router.told_s = now
                 self._link.send(name, beat)
 
-    def beat(self) -> Heartbeat:
+    def make_heartbeat(self) -> Heartbeat:
         """Return the heartbeat as of now."""
         cfg = self.settings
         return Heartbeat(
             cfg.endpoint,
             cfg.incarnation,
             cfg.zone,
-            [] if self._loading.is_under_way else list(self.targets),
+            [] if self._loading.is_loading else list(self.targets),
             self.state,
             self.revision,
             len(self._running),
             len(self._queue),
             cfg.slots,
-            self._loading.is_under_way,
+            self._loading.is_loading,
             self._count_urgent(),
         )
 
@@ -234,7 +234,7 @@
             case LoadOrder():
                 self._on_order(sender, message)
             case Withdrawal():
-                self._config.stop_version(message)
+                self._config.withdraw_version(message)
                 self._recheck_queue()
             case _:
                 log.warning("unexpected message", extra={"message_type": type(message).__name__})
@@ -248,20 +248,20 @@
         router = self._routers[sender] = _Router(hello.incarnation, now, hello.heartbeat_interval_s)
         router.told_s = now if known is None else known.told_s
         if known is None or known.incarnation != hello.incarnation:
-            self._link.send(sender, self.beat())
+            self._link.send(sender, self.make_heartbeat())
         if hello.revision > self.revision:
             self._link.send(sender, ConfigRequest(self.revision))
 
     # Configuration
 
     def _on_records(self, sender: str, message: ConfigRecords) -> None:
-        if not self._config.follows(message):
+        if not self._config.is_contiguous(message):
             self._link.send(sender, ConfigRequest(self.revision))
-        elif self._config.take_records(message):
+        elif self._config.apply_records(message):
             self._config_changed()
 
     def _on_snapshot(self, message: ConfigSnapshot) -> None:
-        if self._config.take_snapshot(message):
+        if self._config.apply_snapshot(message):
             self._config_changed()
 
     def _config_changed(self) -> None:
@@ -335,7 +335,7 @@
                 self._link.send(sender, AttemptAccepted(entry.attempt))
                 place = self._queue.position_for(start.priority, start.customer)
                 owner = self.config.customers.get(start.customer)
-                share = max(LEAST_SHARE, owner.limits.share if owner is not None else 1.0)
+                share = max(MIN_SHARE, owner.limits.share if owner is not None else 1.0)
                 self._queue.push(place, entry, start.customer, share)
                 self._fill_slots()
             case Existing(entry=entry):
@@ -348,12 +348,12 @@
     def _admission_refusal(self, start: Start) -> Reason | None:
         if self.state is EndpointState.DRAINING:
             return Reason.LEAVING
-        if start.target not in self.targets or self._loading.is_under_way:
+        if start.target not in self.targets or self._loading.is_loading:
             return Reason.NO_ENDPOINT
         reason = self._config.refusal(start)
         if reason is not None:
             return reason
-        if len(self._usage) + self._ledger.live_count > self.settings.usage_records:
+        if len(self._usage) + self._ledger.live_count > self.settings.max_usage_records:
             return Reason.USAGE_FULL
         if len(self._queue) >= self.settings.queue and not self._give_way(start):
             return Reason.OVERLOADED
@@ -447,7 +447,7 @@
                 self.counters.failed += 1
                 log.info("back end failed", extra={"attempt": str(entry.attempt), "why": reason})
         self._finish(entry, result)
-        self._loading.begin_if_idle(len(self._running))
+        self._loading.start_if_idle(len(self._running))
         self._fill_slots()
 
     def _finish(self, entry: AttemptEntry, result: Finished | Failed | Refused) -> None:
@@ -510,8 +510,8 @@
     # Orders
 
     def _on_order(self, sender: str, order: LoadOrder) -> None:
-        self._link.send(sender, self._loading.take(order))
-        self._loading.begin_if_idle(len(self._running))
+        self._link.send(sender, self._loading.accept_order(order))
+        self._loading.start_if_idle(len(self._running))
 
     def _on_targets(self) -> None:
         if not self._is_stopped:
@@ -531,7 +531,7 @@
         record = UsageRecord(
             start.request, start.customer, start.target, usage, cost, klass=start.klass
         )
-        self._usage.hold(record, self._clock.seconds())
+        self._usage.add(record, self._clock.seconds())
 
     def _on_billed(self, message: UsageConfirmation) -> None:
         self._usage.confirm(message.requests)
@@ -539,7 +539,7 @@
 
     def _hand_over_usage(self) -> None:
         """Offer overdue records to a router, another one at each turn."""
-        patience_s = 0.0 if self.state is EndpointState.DRAINING else self.settings.handover_s
+        patience_s = 0.0 if self.state is EndpointState.DRAINING else self.settings.handover_delay_s
         overdue = self._usage.overdue(self._clock.seconds(), patience_s)
         router = self._usage.next_router(self._routers) if overdue else None
         if router is not None:
@@ -556,6 +556,6 @@
         case Reason.OVERLOADED | Reason.LEDGER_FULL | Reason.USAGE_FULL:
             return QUEUE_RETRY_AFTER_S
         case Reason.LEAVING | Reason.STALE_CONFIG:
-            return LEAVING_RETRY_AFTER_S
+            return DRAINING_RETRY_AFTER_S
         case _:
             return 0.0
--- a/umberhitch/tasks/agent_config.py
+++ b/umberhitch/tasks/agent_config.py
@@ -42,17 +42,17 @@
         """The configuration at that revision."""
         return self._catch_up.fold.config
 
-    def follows(self, message: ConfigRecords) -> bool:
+    def is_contiguous(self, message: ConfigRecords) -> bool:
         """Whether the records follow what is here, without a gap."""
         return message.previous <= self.revision
 
-    def take_records(self, message: ConfigRecords) -> bool:
+    def apply_records(self, message: ConfigRecords) -> bool:
         """Apply records; returns whether the revision has grown."""
         before = self.revision
         self._catch_up.take(message.records)
         return self.revision > before
 
-    def take_snapshot(self, message: ConfigSnapshot) -> bool:
+    def apply_snapshot(self, message: ConfigSnapshot) -> bool:
         """Load a snapshot, if it is newer; returns whether the revision has grown."""
         try:
             record = decode_record(message.data)
@@ -64,7 +64,7 @@
         self._catch_up.load(record)
         return True
 
-    def stop_version(self, message: Withdrawal) -> None:
+    def withdraw_version(self, message: Withdrawal) -> None:
         """Give a version no more work, ahead of the record in the log."""
         self._stops.add(message, self._catch_up.fold)
 
--- a/umberhitch/tasks/agent_settings.py
+++ b/umberhitch/tasks/agent_settings.py
@@ -20,18 +20,18 @@
     """Calls given to the endpoint at once."""
     queue: int = 64
     """Attempts that may wait for a slot."""
-    beat_s: float = 1.0
-    router_silence_s: float = 5.0
+    heartbeat_interval_s: float = 1.0
+    router_timeout_s: float = 5.0
     """A router not heard for this long gets no more heartbeats."""
     config_wait_s: float = 1.0
     """How long an attempt waits for a configuration that the router has and the agent lacks."""
-    handover_s: float = 10.0
+    handover_delay_s: float = 10.0
     """How long a usage record waits for its router before others are asked to write it."""
     overdue_grace_s: float = 5.0
     """How long past its deadline a running attempt is left to the engine, and again after that."""
-    order_warm_up_s: float = 3.0
+    fencing_warm_up_s: float = 3.0
     """How long a new agent listens for fencing tokens before it carries out orders."""
-    usage_records: int = 2000
+    max_usage_records: int = 2000
     """Unconfirmed usage records held; beyond this, new work is refused."""
     ledger: LedgerLimits = LedgerLimits()
 
--- a/umberhitch/tasks/appender.py
+++ b/umberhitch/tasks/appender.py
@@ -25,11 +25,11 @@
 
     interval_s: float = 0.02
     """How long the first record of a batch waits for company."""
-    batch: int = 500
-    pending: int = 20_000
+    max_batch: int = 500
+    max_pending: int = 20_000
     """Records held while the log is away; more are refused."""
-    retry_first_s: float = 0.1
-    retry_most_s: float = 5.0
+    base_retry_s: float = 0.1
+    max_retry_s: float = 5.0
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
         self._waiting: deque[_Entry] = deque()
         self._sending: list[_Entry] = []
         self._timer: Timer | None = None
-        self._retry_s = self._limits.retry_first_s
+        self._retry_s = self._limits.base_retry_s
         self.failures = 0
         """Consecutive failed appends."""
         self.appends = 0
@@ -83,9 +83,9 @@
     @property
     def is_full(self) -> bool:
         """Whether `add` would refuse."""
-        return self.pending >= self._limits.pending
+        return self.pending >= self._limits.max_pending
 
-    def share_service(self, routers: int, appends_per_s: float) -> None:
+    def limit_append_rate(self, routers: int, appends_per_s: float) -> None:
         """Stretch the interval so that all routers together stay under a rate of appends."""
         self.interval_s = max(self._limits.interval_s, routers / appends_per_s)
 
@@ -110,7 +110,7 @@
 
     def _flush(self) -> None:
         self._timer = None
-        while self._waiting and len(self._sending) < self._limits.batch:
+        while self._waiting and len(self._sending) < self._limits.max_batch:
             self._sending.append(self._waiting.popleft())
         if self._sending:
             ensureDeferred(self._append())
@@ -123,10 +123,10 @@
             return
         self.appends += 1
         self.failures = 0
-        self._retry_s = self._limits.retry_first_s
+        self._retry_s = self._limits.base_retry_s
         sent, self._sending = self._sending, []
         if self._waiting:
-            self._schedule(0.0 if len(self._waiting) >= self._limits.batch else self.interval_s)
+            self._schedule(0.0 if len(self._waiting) >= self._limits.max_batch else self.interval_s)
         for index, entry in enumerate(sent):
             entry.done.callback(first + index)
 
@@ -135,5 +135,5 @@
         if self.failures == 1:
             log.warning("append failed", extra={"stream": self._stream, "error": str(exc)})
         delay_s = self._retry_s * (0.5 + self._rng.random())
-        self._retry_s = min(self._retry_s * 2, self._limits.retry_most_s)
+        self._retry_s = min(self._retry_s * 2, self._limits.max_retry_s)
         self._timer = self._clock.callLater(delay_s, self._flush)
--- a/umberhitch/tasks/attempts.py
+++ b/umberhitch/tasks/attempts.py
@@ -24,7 +24,7 @@
     Start,
 )
 
-__all__ = ["AttemptPace", "Attempts", "OpenAttempt", "TextSink"]
+__all__ = ["AttemptTiming", "Attempts", "OpenAttempt", "TextSink"]
 
 log = getLogger(__name__)
 
@@ -33,27 +33,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptPace:
+class AttemptTiming:
     """Timing of the repair of lost messages."""
 
-    tick_s: float = 0.1
-    resend_s: float = 0.3
-    taken_timeout_s: float = 1.5
+    check_interval_s: float = 0.1
+    resend_interval_s: float = 0.3
+    accept_timeout_s: float = 1.5
     """Without any reply for this long, the attempt is cancelled."""
     cancel_timeout_s: float = 1.5
     """Without a reply to the cancel for this long, the outcome is unknown."""
-    gap_s: float = 0.1
-    quiet_s: float = 2.0
+    gap_fetch_s: float = 0.1
+    idle_fetch_s: float = 2.0
     """A running attempt that is quiet for this long is asked where it stands."""
     deadline_margin_s: float = 0.3
     """The cancel goes out this long before the caller's deadline."""
 
 
-class Phase(StrEnum):
+class AttemptPhase(StrEnum):
     """Where an attempt stands, as its router sees it."""
 
     SENT = "sent"
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     CANCELLING = "cancelling"
     ENDED = "ended"
 
@@ -76,16 +76,16 @@
     customer: str
     target: str
     start: Start | None
-    due_s: float
+    deadline_s: float
     sink: TextSink
     is_repeatable: bool = False
-    phase: Phase = Phase.SENT
+    phase: AttemptPhase = AttemptPhase.SENT
     answer: AnswerAssembler = field(default_factory=AnswerAssembler)
     finished: Finished | None = None
     sent_s: float = 0.0
-    heard_s: float = 0.0
-    asked_s: float = 0.0
-    cancel_s: float = 0.0
+    last_reply_s: float = 0.0
+    last_request_s: float = 0.0
+    cancelled_s: float = 0.0
     cancel_reason: Reason = Reason.CANCELLED
     waiters: list[Deferred[Outcome]] = field(default_factory=list)
 
@@ -100,7 +100,7 @@
     clock : Clock
     link : LinkPort
     fleet : Fleet
-    pace : AttemptPace
+    pace : AttemptTiming
     """
 
     def __init__(
@@ -110,14 +110,14 @@
         clock: Clock,
         link: LinkPort,
         fleet: Fleet,
-        pace: AttemptPace | None = None,
+        timing: AttemptTiming | None = None,
     ) -> None:
         self._router = router
         self._incarnation = incarnation
         self._clock = clock
         self._link = link
         self._fleet = fleet
-        self._pace = pace or AttemptPace()
+        self._pace = timing or AttemptTiming()
         self._seq = 0
         self._open: dict[AttemptId, OpenAttempt] = {}
         self._is_stopped = False
@@ -160,13 +160,13 @@
             sink,
             is_repeatable,
             sent_s=now,
-            heard_s=now,
-            asked_s=now,
+            last_reply_s=now,
+            last_request_s=now,
         )
         self._open[start.attempt] = watch
         known = self._fleet.get(endpoint)
         if known is not None:
-            known.enter(start.priority <= URGENT_PRIORITY)
+            known.note_attempt_started(start.priority <= URGENT_PRIORITY)
         self._link.send(endpoint, start)
         return watch
 
@@ -194,25 +194,25 @@
             None,
             now + wait_s,
             lambda text: None,
-            phase=Phase.TAKEN,
+            phase=AttemptPhase.ACCEPTED,
             sent_s=now,
-            heard_s=now,
-            asked_s=now,
+            last_reply_s=now,
+            last_request_s=now,
         )
-        endpoint.enter(False)
+        endpoint.note_attempt_started(False)
         self._open[attempt] = watch
         return watch
 
     def cancel(self, watch: OpenAttempt, reason: Reason = Reason.CANCELLED) -> None:
         """Ask the agent to refuse or stop the attempt; its outcome still comes by ``ended``."""
-        if watch.phase in (Phase.CANCELLING, Phase.ENDED):
+        if watch.phase in (AttemptPhase.CANCELLING, AttemptPhase.ENDED):
             return
-        watch.phase = Phase.CANCELLING
+        watch.phase = AttemptPhase.CANCELLING
         watch.cancel_reason = reason
-        watch.cancel_s = self._clock.seconds()
+        watch.cancelled_s = self._clock.seconds()
         self._send_cancel(watch)
 
-    def settle_foreign(
+    def settle_orphaned(
         self, attempt: AttemptId, endpoint: Endpoint, agent_incarnation: int, customer: str
     ) -> OpenAttempt:
         """Find out what became of a lost router's attempt; if it has not begun, it never will.
@@ -230,18 +230,18 @@
         return watch
 
     def _send_cancel(self, watch: OpenAttempt) -> None:
-        watch.asked_s = self._clock.seconds()
+        watch.last_request_s = self._clock.seconds()
         self._link.send(watch.endpoint, Cancel(watch.attempt, watch.agent_incarnation))
 
     def _end(self, watch: OpenAttempt, outcome: Outcome) -> None:
-        if watch.phase is Phase.ENDED:
+        if watch.phase is AttemptPhase.ENDED:
             return
-        watch.phase = Phase.ENDED
+        watch.phase = AttemptPhase.ENDED
         self._open.pop(watch.attempt, None)
         known = self._fleet.get(watch.endpoint)
         if known is not None:
             is_urgent = watch.start is not None and watch.start.priority <= URGENT_PRIORITY
-            known.leave(is_urgent)
+            known.note_attempt_finished(is_urgent)
         for waiter in watch.waiters:
             waiter.callback(outcome)
 
@@ -252,13 +252,13 @@
         watch = self._open.get(message.attempt)
         if watch is None:
             return
-        watch.heard_s = self._clock.seconds()
+        watch.last_reply_s = self._clock.seconds()
         match message:
             case Chunk(offset=offset, text=text):
                 self._on_text(watch, offset, text)
             case AttemptAccepted():
-                if watch.phase is Phase.SENT:
-                    watch.phase = Phase.TAKEN
+                if watch.phase is AttemptPhase.SENT:
+                    watch.phase = AttemptPhase.ACCEPTED
             case Finished():
                 self._on_finished(watch, message)
             case Refused(reason=reason, retry_after_s=retry_after_s):
@@ -269,8 +269,8 @@
                 self._end(watch, Unknown(Reason(reason)))
 
     def _on_text(self, watch: OpenAttempt, offset: int, text: str) -> None:
-        if watch.phase is Phase.SENT:
-            watch.phase = Phase.TAKEN
+        if watch.phase is AttemptPhase.SENT:
+            watch.phase = AttemptPhase.ACCEPTED
         new = watch.answer.add(offset, text)
         if new:
             watch.sink(new)
@@ -286,7 +286,7 @@
             self._end(watch, Unknown(Reason.BACKEND_FAILED, str(exc)))
             return
         self._end_if_whole(watch)
-        if watch.phase is not Phase.ENDED:
+        if watch.phase is not AttemptPhase.ENDED:
             self._ask(watch)
 
     def _end_if_whole(self, watch: OpenAttempt) -> None:
@@ -304,7 +304,7 @@
         )
         self._end(watch, done)
 
-    def agent_replaced(self, endpoint: str, incarnation: int) -> None:
+    def handle_agent_replaced(self, endpoint: str, incarnation: int) -> None:
         """End what ran at earlier incarnations of an endpoint's agent: its outcome is unknown."""
         for watch in list(self._open.values()):
             if watch.endpoint == endpoint and watch.agent_incarnation < incarnation:
@@ -318,48 +318,52 @@
         now = self._clock.seconds()
         for watch in list(self._open.values()):
             self._check(watch, now)
-        self._clock.callLater(self._pace.tick_s, self._tick)
+        self._clock.callLater(self._pace.check_interval_s, self._tick)
 
     def _check(self, watch: OpenAttempt, now: float) -> None:
         pace = self._pace
-        if now >= watch.due_s:
+        if now >= watch.deadline_s:
             self._end(watch, Unknown(Reason.DEADLINE))
             return
         match watch.phase:
-            case Phase.SENT:
+            case AttemptPhase.SENT:
                 self._check_sent(watch, now)
-            case Phase.TAKEN:
+            case AttemptPhase.ACCEPTED:
                 self._check_taken(watch, now)
-            case Phase.CANCELLING:
-                if now - watch.cancel_s >= pace.cancel_timeout_s:
+            case AttemptPhase.CANCELLING:
+                if now - watch.cancelled_s >= pace.cancel_timeout_s:
                     self._end(watch, Unknown(Reason.NO_ANSWER))
-                elif now - watch.asked_s >= pace.resend_s:
+                elif now - watch.last_request_s >= pace.resend_interval_s:
                     self._send_cancel(watch)
-        if watch.phase in (Phase.SENT, Phase.TAKEN) and self._is_nearly_due(watch, now):
+        if watch.phase in (AttemptPhase.SENT, AttemptPhase.ACCEPTED) and self._is_nearly_due(
+            watch, now
+        ):
             self.cancel(watch, Reason.DEADLINE)
 
     def _is_nearly_due(self, watch: OpenAttempt, now: float) -> bool:
-        margin_s = min(self._pace.deadline_margin_s, 0.1 * (watch.due_s - watch.sent_s))
-        return watch.start is not None and now >= watch.due_s - margin_s
+        margin_s = min(self._pace.deadline_margin_s, 0.1 * (watch.deadline_s - watch.sent_s))
+        return watch.start is not None and now >= watch.deadline_s - margin_s
 
     def _check_sent(self, watch: OpenAttempt, now: float) -> None:
-        if now - watch.sent_s >= self._pace.taken_timeout_s:
+        if now - watch.sent_s >= self._pace.accept_timeout_s:
             self.cancel(watch, Reason.NO_ANSWER)
-        elif now - watch.asked_s >= self._pace.resend_s and watch.start is not None:
-            watch.asked_s = now
+        elif now - watch.last_request_s >= self._pace.resend_interval_s and watch.start is not None:
+            watch.last_request_s = now
             self._link.send(watch.endpoint, watch.start)
 
     def _check_taken(self, watch: OpenAttempt, now: float) -> None:
         pace = self._pace
         has_gap = watch.answer.has_gap
-        wait_s = pace.gap_s if has_gap else pace.quiet_s
-        if now - watch.heard_s >= wait_s and now - watch.asked_s >= max(wait_s, pace.resend_s):
+        wait_s = pace.gap_fetch_s if has_gap else pace.idle_fetch_s
+        if now - watch.last_reply_s >= wait_s and now - watch.last_request_s >= max(
+            wait_s, pace.resend_interval_s
+        ):
             self._ask(watch)
-        if watch.is_repeatable and now - watch.heard_s >= pace.quiet_s:
+        if watch.is_repeatable and now - watch.last_reply_s >= pace.idle_fetch_s:
             endpoint = self._fleet.get(watch.endpoint)
             if endpoint is None or self._fleet.is_silent(endpoint):
                 self._end(watch, Unknown(Reason.AGENT_LOST))
 
     def _ask(self, watch: OpenAttempt) -> None:
-        watch.asked_s = self._clock.seconds()
+        watch.last_request_s = self._clock.seconds()
         self._link.send(watch.endpoint, Fetch(watch.attempt, watch.answer.length, watch.customer))
--- a/umberhitch/tasks/burn.py
+++ b/umberhitch/tasks/burn.py
@@ -8,12 +8,12 @@
 from umberhitch.ports.clock import Clock, pause
 from umberhitch.wire import BurnReply, BurnRequest, BurnSlice, Message
 
-__all__ = ["BurnHost", "BurnReport", "BurnTask"]
+__all__ = ["BurnContext", "BurnReport", "BurnTask"]
 
-GATHER_S = 1.0
+GATHER_TIMEOUT_S = 1.0
 """How long peers are waited for."""
 
-CALLERS_FAULT = frozenset(
+CALLER_ERROR_REASONS = frozenset(
     {
         Reason.NOT_PERMITTED,
         Reason.UNKNOWN_MODEL,
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BurnHost:
+class BurnContext:
     """What the report needs of its router.
 
     Attributes
@@ -70,7 +70,7 @@
 
     Parameters
     ----------
-    host : BurnHost
+    host : BurnContext
     clock : Clock
     wall_s : callable
     has_latencies : bool
@@ -79,7 +79,7 @@
 
     def __init__(
         self,
-        host: BurnHost,
+        host: BurnContext,
         clock: Clock,
         wall_s: Callable[[], float],
         has_latencies: bool = True,
@@ -91,9 +91,11 @@
         self._asks = 0
         self._replies: dict[int, dict[str, list[BurnSlice]]] = {}
 
-    def ended(self, customer: str, klass: str, outcome: Outcome, latency_s: float) -> None:
+    def note_request_finished(
+        self, customer: str, klass: str, outcome: Outcome, latency_s: float
+    ) -> None:
         """Count a request that has ended."""
-        if isinstance(outcome, NotRun) and outcome.reason in CALLERS_FAULT:
+        if isinstance(outcome, NotRun) and outcome.reason in CALLER_ERROR_REASONS:
             return
         self.count(customer, klass, isinstance(outcome, Done), latency_s)
 
@@ -113,7 +115,7 @@
         for peer in peers:
             self._host.send(peer, BurnRequest(ask))
         if peers:
-            await pause(self._clock, GATHER_S)
+            await pause(self._clock, GATHER_TIMEOUT_S)
         replies = self._replies.pop(ask)
         own = self._host.name
         slices = self._book.slices() + [part for parts in replies.values() for part in parts]
@@ -121,11 +123,11 @@
         missing = sorted(set(peers) - set(replies))
         return BurnReport(rows, sorted([own, *replies]), missing)
 
-    def answer(self, sender: str, ask: BurnRequest) -> None:
+    def handle_request(self, sender: str, ask: BurnRequest) -> None:
         """Send the book to a router that asks for it."""
         self._host.send(sender, BurnReply(ask.request_id, self._book.slices()))
 
-    def take(self, sender: str, reply: BurnReply) -> None:
+    def handle_reply(self, sender: str, reply: BurnReply) -> None:
         """Take a peer's book."""
         replies = self._replies.get(reply.request_id)
         if replies is not None:
--- a/umberhitch/tasks/claims.py
+++ b/umberhitch/tasks/claims.py
@@ -15,7 +15,7 @@
 from umberhitch.errors import LogError
 from umberhitch.ports import Clock, LogBatch, LogPort
 from umberhitch.tasks.appender import Appender, AppenderLimits
-from umberhitch.tasks.follower import Follower, FollowerPace
+from umberhitch.tasks.follower import Follower, FollowerSettings
 
 __all__ = ["CLAIMS_STREAM", "Claims"]
 
@@ -30,7 +30,7 @@
     port : LogPort
     clock : Clock
     rng : Random
-    pace : FollowerPace
+    pace : FollowerSettings
     limits : AppenderLimits
     """
 
@@ -39,7 +39,7 @@
         port: LogPort,
         clock: Clock,
         rng: Random,
-        pace: FollowerPace | None = None,
+        pace: FollowerSettings | None = None,
         limits: AppenderLimits | None = None,
     ) -> None:
         self.fold = ClaimFold()
@@ -101,7 +101,7 @@
         except LogError:
             return
 
-    async def wait_for_news(self, key: str, wait_s: float) -> None:
+    async def wait_for_update(self, key: str, wait_s: float) -> None:
         """Return when something was recorded of the key, or after ``wait_s``."""
         done: Deferred[None] = Deferred()
         self._key_waiters.setdefault(key, []).append(done)
--- a/umberhitch/tasks/config_feed.py
+++ b/umberhitch/tasks/config_feed.py
@@ -25,7 +25,7 @@
 from umberhitch.errors import LogError
 from umberhitch.ports import Clock, LogBatch, LogPort
 from umberhitch.tasks.appender import Appender
-from umberhitch.tasks.follower import Follower, FollowerPace
+from umberhitch.tasks.follower import Follower, FollowerSettings
 from umberhitch.wire import ConfigRecords, ConfigSnapshot, Message
 
 __all__ = ["CONFIG_STREAM", "ConfigFeed", "ConfigSource"]
@@ -33,11 +33,11 @@
 log = getLogger(__name__)
 
 CONFIG_STREAM = "config"
-RECENT_RECORDS = 1024
+MAX_RECENT_RECORDS = 1024
 """Records kept for agents and peers that lag a little; others get a snapshot."""
-SNAPSHOT_EVERY = 500
+SNAPSHOT_INTERVAL_RECORDS = 500
 """Records after which a snapshot is written back, well before retention takes the tail."""
-SNAPSHOT_SPREAD_S = 10.0
+MAX_SNAPSHOT_DELAY_S = 10.0
 """Routers wait a random time up to this, so that usually one of them writes it."""
 
 
@@ -59,7 +59,7 @@
     rng : Random
     on_change : callable
         Called without arguments after the revision has grown.
-    pace : FollowerPace
+    pace : FollowerSettings
     """
 
     def __init__(
@@ -68,10 +68,10 @@
         clock: Clock,
         rng: Random,
         on_change: Callable[[], None],
-        pace: FollowerPace | None = None,
+        pace: FollowerSettings | None = None,
     ) -> None:
         self._catch_up = CatchUp(Fold())
-        self._recent: deque[tuple[int, bytes]] = deque(maxlen=RECENT_RECORDS)
+        self._recent: deque[tuple[int, bytes]] = deque(maxlen=MAX_RECENT_RECORDS)
         self._clock = clock
         self._rng = rng
         self._on_change = on_change
@@ -101,9 +101,9 @@
         return self._catch_up.fold.revision
 
     @property
-    def current_s(self) -> float | None:
+    def caught_up_s(self) -> float | None:
         """When this router last knew that it had everything in the log."""
-        return self.follower.current_s
+        return self.follower.caught_up_s
 
     @property
     def is_ready(self) -> bool:
@@ -142,14 +142,14 @@
     def _on_batch(self, batch: LogBatch) -> None:
         self._take(batch.records, ConfigSource.LOG)
 
-    def take_records(self, previous: int, records: list[tuple[int, bytes]]) -> bool:
+    def apply_peer_records(self, previous: int, records: list[tuple[int, bytes]]) -> bool:
         """Apply records that a peer sent; returns whether they follow what is here."""
         if previous > self.revision:
             return False
         self._take(records, ConfigSource.PEER)
         return True
 
-    def take_snapshot(self, data: bytes) -> None:
+    def apply_peer_snapshot(self, data: bytes) -> None:
         """Load a snapshot that a peer sent, if it is newer than what is here."""
         try:
             record = decode_record(data)
@@ -210,14 +210,14 @@
             done.callback(verdict)
 
     def _consider_snapshot(self) -> None:
-        if self._snapshot_due or self.revision - self._last_snapshot < SNAPSHOT_EVERY:
+        if self._snapshot_due or self.revision - self._last_snapshot < SNAPSHOT_INTERVAL_RECORDS:
             return
         self._snapshot_due = True
-        self._clock.callLater(self._rng.random() * SNAPSHOT_SPREAD_S, self._write_snapshot)
+        self._clock.callLater(self._rng.random() * MAX_SNAPSHOT_DELAY_S, self._write_snapshot)
 
     def _write_snapshot(self) -> None:
         self._snapshot_due = False
-        if self.revision - self._last_snapshot < SNAPSHOT_EVERY or self.appender.is_full:
+        if self.revision - self._last_snapshot < SNAPSHOT_INTERVAL_RECORDS or self.appender.is_full:
             return
         self.appender.add(self.fold.encoded_snapshot()).addErrback(lambda failure: None)
 
--- a/umberhitch/tasks/direct/admission.py
+++ b/umberhitch/tasks/direct/admission.py
@@ -5,11 +5,11 @@
 
 from umberhitch.core.direct import CallerRequest, Customer, Route, RouteKind, request_key
 from umberhitch.ports.clock import Clock
-from umberhitch.tasks.direct.services import Permit
+from umberhitch.tasks.direct.services import AdmittedRequest
 from umberhitch.tasks.direct.store_view import StoreView
 from umberhitch.tasks.direct.trials import Trials
 
-__all__ = ["LIGHT_TOKENS", "STALE", "Admission", "Refusal"]
+__all__ = ["MAX_LIGHT_TOKENS", "STALE_CONFIGURATION", "Admission", "Refusal"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,9 +20,9 @@
     reason: str
 
 
-LIGHT_TOKENS = 4000
+MAX_LIGHT_TOKENS = 4000
 """A call that reads less may be sent where many others are: it delays their tokens little."""
-STALE = Refusal(503, "configuration is old")
+STALE_CONFIGURATION = Refusal(503, "configuration is old")
 """Nothing proves that the configuration at hand is still the newest."""
 
 
@@ -65,7 +65,9 @@
         self._behind_s = behind_s
         self._is_strict = is_strict
 
-    def admit(self, ask: CallerRequest, received_s: float, takes_streams: bool) -> Permit | Refusal:
+    def admit(
+        self, ask: CallerRequest, received_s: float, takes_streams: bool
+    ) -> AdmittedRequest | Refusal:
         """Return the permit, or the refusal.
 
         Parameters
@@ -80,27 +82,27 @@
         if table is None or not self._view.is_loaded:
             return Refusal(503, "starting")
         if self._view.behind_s() > self._behind_s:
-            return STALE
+            return STALE_CONFIGURATION
         is_stale = self._view.proof_age_s(received_s) > self._proof_age_s
         route = table.find(ask.host, ask.path)
         if route is None:
-            return STALE if is_stale else Refusal(404, "no such route")
+            return STALE_CONFIGURATION if is_stale else Refusal(404, "no such route")
         if route.kind is RouteKind.STREAM and not takes_streams:
             return Refusal(503, "leaving")
         customer: Customer | None = None
         if not route.is_public:
             if is_stale and self._is_strict:
-                return STALE
+                return STALE_CONFIGURATION
             customer = table.find_customer(ask.key)
             if customer is None:
-                return STALE if is_stale else Refusal(401, "unknown key")
+                return STALE_CONFIGURATION if is_stale else Refusal(401, "unknown key")
         service = self._pick_service(route)
         now_s = self._clock.seconds()
         ready = self._view.directory.ready(service, now_s, self._rng)
-        is_light = ask.prompt_tokens < LIGHT_TOKENS
+        is_light = ask.prompt_tokens < MAX_LIGHT_TOKENS
         wants = self._trials.wants_target(service, ask.session, now_s, ready, is_light)
         key = request_key(ask, customer)
-        return Permit(ask, route, service, customer, received_s, wants, key)
+        return AdmittedRequest(ask, route, service, customer, received_s, wants, key)
 
     def _pick_service(self, route: Route) -> str:
         if len(route.services) == 1:
--- a/umberhitch/tasks/direct/crash_guard.py
+++ b/umberhitch/tasks/direct/crash_guard.py
@@ -13,7 +13,7 @@
 from umberhitch.tasks.direct.crash_sharing import CrashSharing
 from umberhitch.tasks.direct.crash_watch import CrashWatch
 from umberhitch.tasks.direct.probing import Probing
-from umberhitch.tasks.direct.services import Permit, Run, place_of
+from umberhitch.tasks.direct.services import AdmittedRequest, Run, service_version_of
 from umberhitch.wire import CrashUpdate, ProbeReply, ProbeRequest
 
 __all__ = ["CrashGuard"]
@@ -60,22 +60,22 @@
 
     # Requests
 
-    def hold(self, permit: Permit) -> Hold | None:
+    def hold(self, permit: AdmittedRequest) -> Hold | None:
         """Return why a request is held, or None."""
-        return self.record.hold(permit.key, self._clock.seconds())
+        return self.record.hold(permit.request_key, self._clock.seconds())
 
-    def is_held(self, permit: Permit) -> bool:
+    def is_held(self, permit: AdmittedRequest) -> bool:
         """Whether a request is run by probes only."""
-        return self.record.is_held(permit.key)
+        return self.record.is_held(permit.request_key)
 
-    def retry_s(self, permit: Permit) -> float:
+    def retry_s(self, permit: AdmittedRequest) -> float:
         """Return when a request that is held may come again."""
         hold = self.hold(permit)
         return 0.0 if hold is None else max(0.0, hold.until_s - self._clock.seconds())
 
     def ask_probe(
         self,
-        permit: Permit,
+        permit: AdmittedRequest,
         endpoint: Endpoint,
         lease_s: float,
         done: Callable[[float | None], None],
@@ -85,14 +85,16 @@
         It is seen first that the endpoint is there: a probe that reaches nobody is one of few.
         """
         now_s = self._clock.seconds()
-        hold = self.record.hold(permit.key, now_s, place_of(endpoint))
+        hold = self.record.hold(permit.request_key, now_s, service_version_of(endpoint))
         if hold is not None and hold.until_s > now_s:
             done(hold.until_s - now_s)
             return
 
         def take(found: ListenerStatus) -> None:
             if found is ListenerStatus.YES:
-                self.probing.request_probe(permit.key, place_of(endpoint), lease_s, done)
+                self.probing.request_probe(
+                    permit.request_key, service_version_of(endpoint), lease_s, done
+                )
             else:
                 self._on_unreachable(endpoint, found is ListenerStatus.NO)
                 done(ABSENT_RETRY_S)
@@ -101,26 +103,26 @@
 
     # Calls
 
-    def began(self, permit: Permit, endpoint: Endpoint, is_probe: bool) -> Run:
+    def start_run(self, permit: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
         """Take note that a call is sent."""
         run = Run(permit, endpoint, self._clock.seconds(), is_probe)
-        self._under_way.setdefault(permit.key, []).append(run)
+        self._under_way.setdefault(permit.request_key, []).append(run)
         return run
 
     def _over(self, run: Run) -> None:
-        runs = self._under_way[run.permit.key]
+        runs = self._under_way[run.admitted.request_key]
         runs.remove(run)
         if not runs:
-            del self._under_way[run.permit.key]
+            del self._under_way[run.admitted.request_key]
 
     def _is_under_way(self, run: Run) -> bool:
-        return any(each is run for each in self._under_way.get(run.permit.key, ()))
+        return any(each is run for each in self._under_way.get(run.admitted.request_key, ()))
 
-    def answered(self, run: Run) -> None:
+    def record_head(self, run: Run) -> None:
         """Take note that a call has the head of its reply."""
         run.head_s = self._clock.seconds()
         self.watch.answered(run)
-        if self.record.is_held(run.permit.key):
+        if self.record.is_held(run.admitted.request_key):
             self._free_if_outlived(run)
 
     def _on_held(self, key: str) -> None:
@@ -131,7 +133,7 @@
     def _free_if_outlived(self, run: Run) -> None:
         """Free a request once a run of it has gone on for long enough."""
         assert run.head_s is not None
-        key = run.permit.key
+        key = run.admitted.request_key
         left_s = run.head_s + self.record.survival_s(key) - self._clock.seconds()
 
         def look() -> None:
@@ -140,38 +142,38 @@
 
         self._clock.callLater(max(0.0, left_s), look)
 
-    def ended(self, run: Run) -> None:
+    def record_completed(self, run: Run) -> None:
         """Take note that a call has its whole reply: its endpoint lives after it."""
         self._over(run)
-        key, now_s = run.permit.key, self._clock.seconds()
+        key, now_s = run.admitted.request_key, self._clock.seconds()
         if self.record.is_suspect(key):
             self.watch.ended_well(run, lambda: self.sharing.ended(key, now_s))
         else:
             self.sharing.ended(key, now_s)
 
-    def not_run(self, run: Run) -> None:
+    def record_not_run(self, run: Run) -> None:
         """Take note that the endpoint has not run it."""
         self._over(run)
         self._show_nothing(run)
 
-    def left(self, run: Run) -> None:
+    def record_cancelled(self, run: Run) -> None:
         """Take note that the call was given up here."""
         self._over(run)
         self.watch.left(run)
         self._show_nothing(run)
 
-    def broke(self, run: Run) -> None:
+    def record_broken(self, run: Run) -> None:
         """Take note that the call broke, or was silent for too long."""
         self._over(run)
         self.watch.broke(run)
 
-    def never_sent(self, run: Run) -> None:
+    def record_not_sent(self, run: Run) -> None:
         """Take note that there was no connection for it."""
         self._over(run)
 
     def _show_nothing(self, run: Run) -> None:
         if run.is_probe:
-            self.sharing.probe_over(run.permit.key)
+            self.sharing.probe_over(run.admitted.request_key)
 
     # Peers
 
--- a/umberhitch/tasks/direct/crash_watch.py
+++ b/umberhitch/tasks/direct/crash_watch.py
@@ -91,7 +91,7 @@
         self._ended.pop(lifetime, None)
         broken = self._broken.get(lifetime)
         if broken:
-            self._keep(lifetime, [each for each in broken if each.at_s >= run.began_s])
+            self._keep(lifetime, [each for each in broken if each.at_s >= run.sent_s])
 
     def left(self, run: Run) -> None:
         """Take note that a call was given up here; its endpoint may end by it all the same."""
@@ -171,8 +171,8 @@
             extra={
                 "endpoint": lifetime,
                 "under_way": len(broken),
-                "keys": [each.run.permit.key for each in broken[:8]],
-                "oldest_run_s": round(max(each.at_s - each.run.began_s for each in broken), 3),
+                "keys": [each.run.admitted.request_key for each in broken[:8]],
+                "oldest_run_s": round(max(each.at_s - each.run.sent_s for each in broken), 3),
             },
         )
         self._note_crash_of_version(broken)
@@ -187,7 +187,7 @@
         Not even that where a request was under way beneath which others have ended: then it is
         that, and the version may be as good as any.
         """
-        if any(self._record.is_suspect(each.run.permit.key) for each in broken):
+        if any(self._record.is_suspect(each.run.admitted.request_key) for each in broken):
             return
         for each in broken:
             if not each.was_left and not each.is_noted:
@@ -196,10 +196,10 @@
 
     def _blame(self, broken: _Broken) -> None:
         run = broken.run
-        crash = Crash(run.endpoint.lifetime, run.place, run.began_s, broken.at_s)
-        self._on_crash(run.permit.key, crash)
+        crash = Crash(run.endpoint.lifetime, run.service_version, run.sent_s, broken.at_s)
+        self._on_crash(run.admitted.request_key, crash)
 
 
 def _ran(broken: _Broken) -> bool:
     """Whether a call can have begun before its endpoint ended."""
-    return broken.at_s >= broken.run.began_s + LEAST_RUN_S
+    return broken.at_s >= broken.run.sent_s + LEAST_RUN_S
--- a/umberhitch/tasks/direct/gateway.py
+++ b/umberhitch/tasks/direct/gateway.py
@@ -35,17 +35,17 @@
 )
 from umberhitch.tasks.burn import BurnTask
 from umberhitch.tasks.direct.admission import Admission
-from umberhitch.tasks.direct.choosing import Choosing
-from umberhitch.tasks.direct.come_back import LEAST_RETRY_S
 from umberhitch.tasks.direct.crash_guard import CrashGuard
-from umberhitch.tasks.direct.decisions import DecisionLog
-from umberhitch.tasks.direct.exchange import HELD, REFUSED_BY_ENDPOINT, Exchange
+from umberhitch.tasks.direct.decision_log import DecisionLog
+from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.tasks.direct.gateway_limits import GatewayCounters, GatewaySettings
 from umberhitch.tasks.direct.intake import Intake
-from umberhitch.tasks.direct.own_answers import OwnAnswers
+from umberhitch.tasks.direct.local_replies import LocalReplies
 from umberhitch.tasks.direct.presence import Presence
+from umberhitch.tasks.direct.proxied_request import HELD, REFUSED_BY_ENDPOINT, ProxiedRequest
+from umberhitch.tasks.direct.retry_after import MIN_RETRY_AFTER_S
 from umberhitch.tasks.direct.send_gate import SendGate
-from umberhitch.tasks.direct.services import Permit, RequestState
+from umberhitch.tasks.direct.services import AdmittedRequest, RequestState
 from umberhitch.tasks.direct.store_view import StoreView
 from umberhitch.tasks.direct.trials import Trials
 
@@ -53,7 +53,7 @@
 
 log = getLogger(__name__)
 
-SPENDS_NO_BUDGET = ("caller left", REFUSED_BY_ENDPOINT)
+OUTCOMES_OF_CALLER = ("caller left", REFUSED_BY_ENDPOINT)
 """Outcomes that are the caller's own; the burn report leaves them out."""
 
 
@@ -80,73 +80,73 @@
         endpoints: EndpointPort,
         operator_port: FeedPort[OperatorValue],
         registry_port: FeedPort[EndpointEntry],
-        trials: Trials,
+        canary_controller: Trials,
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.limits = settings.exchange
+        self.timeouts = settings.timeouts
         self.counters = GatewayCounters()
         self.placement = Placement(settings.zone, settings.placement)
-        self.budget = RetryBudget(settings.budget)
+        self.retry_budget = RetryBudget(settings.budget)
         self.demand = EngineDemand(settings.engine_time)
         self.gate = SendGate(settings.name, clock, settings.cold, settings.limit_rules)
-        self.trials = trials
+        self.canary_controller = canary_controller
         self.decisions = DecisionLog(clock)
-        self.running: set[RequestState] = set()
+        self.running_requests: set[RequestState] = set()
         self.burn: BurnTask | None = None
         """Where requests that have ended are counted against their routes' objectives."""
         self._paces = TokenLatencies()
         self._rng = rng
         self._wire = wire
-        self.answers = OwnAnswers(wire, self.decisions)
+        self.local_replies = LocalReplies(wire, self.decisions)
         self._endpoints = endpoints
-        self.crashes = CrashGuard(
+        self.crash_guard = CrashGuard(
             settings.name,
             clock,
             endpoints,
-            lambda run, verdict: self.noted(run.permit, run.endpoint, verdict),
-            self.unreachable,
+            lambda run, verdict: self.record_verdict(run.admitted, run.endpoint, verdict),
+            self.mark_unreachable,
         )
-        trials.running = self.placement.all_running_calls
+        canary_controller.running = self.placement.all_running_calls
         self.view = StoreView(
             clock,
             rng,
             operator_port,
             registry_port,
-            settings.operator_pace,
-            settings.endpoint_pace,
-            trials,
+            settings.operator_polling,
+            settings.endpoint_polling,
+            canary_controller,
             self._on_endpoints,
-            self.crashes.watch.ended,
+            self.crash_guard.watch.ended,
             Directory(self.gate.closed.draining, settings.name),
         )
-        self.gate.on_leaving = self.directory.mark_draining
+        self.gate.on_draining = self.directory.mark_draining
         self.presence = Presence(
             clock,
             settings.drain_s,
             settings.drain_notice_s,
             lambda: self.view.is_loaded,
-            lambda: bool(self.running),
+            lambda: bool(self.running_requests),
         )
-        self.choosing = Choosing(
+        self.selector = EndpointSelector(
             self.view,
-            trials,
+            canary_controller,
             self.placement,
-            self.budget,
+            self.retry_budget,
             Cascade(settings.cascade),
             self.demand,
             self.gate,
-            settings.worth,
+            settings.answer_value,
             clock,
             rng,
         )
         admission = Admission(
             self.view,
-            trials,
+            canary_controller,
             clock,
             rng,
             settings.proof_age_s,
-            settings.behind_s,
+            settings.max_lag_s,
             settings.is_strict,
         )
         self._intake = Intake(
@@ -155,9 +155,9 @@
             self.view,
             admission,
             self.presence,
-            self.choosing,
-            self.crashes,
-            self.answers.send,
+            self.selector,
+            self.crash_guard,
+            self.local_replies.send,
             self._begin,
         )
 
@@ -170,10 +170,10 @@
     def stop(self) -> None:
         """Do nothing more."""
         self.view.stop()
-        for exchange in list(self.running):
-            exchange.cut()
+        for exchange in list(self.running_requests):
+            exchange.abort()
 
-    def leave(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
+    def drain(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
         """Fail the readiness page, and go on taking requests until the balancer has noticed.
 
         Parameters
@@ -219,39 +219,41 @@
 
     def refuse_unread(self, status: int, problem: str) -> tuple[HeaderList, bytes]:
         """Return headers and body of an answer to a request that was not taken."""
-        return self.answers.to_unread(status, problem)
+        return self.local_replies.make_unread_reply(status, problem)
 
     def handle(self, raw: RawRequest, reply: CallerReply) -> Callable[[], None]:
         """Begin to answer a request; returns what is to be called if the caller leaves."""
         self.counters.requests += 1
-        return self._intake.take(raw, reply)
+        return self._intake.handle(raw, reply)
 
-    def _begin(self, permit: Permit, reply: CallerReply, is_probe: bool) -> Callable[[], None]:
+    def _begin(
+        self, permit: AdmittedRequest, reply: CallerReply, is_probe: bool
+    ) -> Callable[[], None]:
         """Begin an exchange with endpoints."""
-        self.budget.record_request(permit.service, permit.received_s)
-        exchange = Exchange(self, permit, reply, is_probe)
-        self.running.add(exchange)
+        self.retry_budget.record_request(permit.service, permit.received_s)
+        exchange = ProxiedRequest(self, permit, reply, is_probe)
+        self.running_requests.add(exchange)
         return exchange.start()
 
     # Services of an exchange
 
     def send(
-        self, permit: Permit, endpoint: Endpoint, model: str | None, call: RequestState
+        self, permit: AdmittedRequest, endpoint: Endpoint, model: str | None, call: RequestState
     ) -> tuple[RunningCall, PlacedCall]:
         """Send the request to an endpoint."""
         self.counters.calls += 1
-        ask, route = permit.ask, permit.route
-        service = self.choosing.service(permit)
+        ask, route = permit.request, permit.route
+        service = self.selector.service(permit)
         now_s = self.clock.seconds()
         endpoint.note_call_sent(now_s)
-        self.gate.sent(endpoint, service)
+        self.gate.record_sent(endpoint, service)
         placed = self.placement.place(endpoint, ask, model or "", route.models, service, now_s)
         customer = permit.customer
         priority = route.priority
         if customer is not None and customer.priority is not None:
             priority = customer.priority
         extras = CallMetadata(
-            call.left_s,
+            call.remaining_s,
             endpoint.entry.incarnation,
             None if customer is None else customer.name,
             model,
@@ -268,16 +270,16 @@
         )
         return self._endpoints.send(endpoint.entry.address, request, call), placed
 
-    def may_repeat(self, service: str) -> bool:
+    def acquire_retry(self, service: str) -> bool:
         """Take one repeat from the shared budget, if there is one."""
-        return self.budget.acquire(service, self.clock.seconds())
+        return self.retry_budget.acquire(service, self.clock.seconds())
 
-    def paced(
+    def judge_latency(
         self,
-        permit: Permit,
+        permit: AdmittedRequest,
         endpoint: Endpoint,
         model: str | None,
-        pace_s: float,
+        latency_s: float,
         since_s: float,
     ) -> AnswerVerdict:
         """Take note of a pace measured from a time on, and return what it says of the answer.
@@ -287,10 +289,10 @@
         what = permit.route.name if model is None else model
         if model is not None:
             what += f" {self.placement.largest_prefill_rank(endpoint.lifetime, since_s)}"
-        is_loaded = self.trials.bears_load(permit.service, endpoint)
-        is_slow = self._paces.is_slow(permit.service, what, pace_s, is_loaded)
-        if not self.trials.is_target(permit.service, endpoint):
-            self._paces.learn(permit.service, what, pace_s)
+        is_loaded = self.canary_controller.bears_load(permit.service, endpoint)
+        is_slow = self._paces.is_slow(permit.service, what, latency_s, is_loaded)
+        if not self.canary_controller.is_target(permit.service, endpoint):
+            self._paces.learn(permit.service, what, latency_s)
         match is_slow:
             case None:
                 return AnswerVerdict.UNPACED
@@ -299,27 +301,29 @@
             case _:
                 return AnswerVerdict.GOOD
 
-    def noted(self, permit: Permit, endpoint: Endpoint, verdict: AnswerVerdict) -> None:
+    def record_verdict(
+        self, permit: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
+    ) -> None:
         """Take note of how an endpoint answered."""
-        self.trials.note(permit.service, permit.route.name, endpoint, verdict)
+        self.canary_controller.note(permit.service, permit.route.name, endpoint, verdict)
 
-    def unreachable(self, endpoint: Endpoint, is_ended: bool = False) -> None:
+    def mark_unreachable(self, endpoint: Endpoint, has_exited: bool = False) -> None:
         """Take note that an endpoint could not be reached or went silent."""
-        endpoint.note_failure(self.clock.seconds(), is_ended)
-        if is_ended:
-            self.crashes.watch.ended(endpoint)
+        endpoint.note_failure(self.clock.seconds(), has_exited)
+        if has_exited:
+            self.crash_guard.watch.ended(endpoint)
 
-    def moved(self, endpoint: Endpoint) -> None:
+    def mark_address_reused(self, endpoint: Endpoint) -> None:
         """Take note that another incarnation has the endpoint's address."""
         log.info("address reused", extra={"endpoint": endpoint.lifetime})
-        self.crashes.watch.ended(endpoint)
+        self.crash_guard.watch.ended(endpoint)
         if self.directory.of_lifetime(endpoint.lifetime) is not None:
             self.directory.drop(endpoint.entry.incarnation)
 
-    def began(self, placed: PlacedCall, head: ReplyHead) -> None:
+    def record_head(self, placed: PlacedCall, head: ReplyHead) -> None:
         """Take note that a reply has begun."""
         now_s = self.clock.seconds()
-        self.gate.heard(placed.lifetime, head)
+        self.gate.apply_head(placed.lifetime, head)
         endpoint = self.directory.of_lifetime(placed.lifetime)
         if endpoint is not None and not head.is_wrong_incarnation:
             self.directory.note_answer(endpoint, now_s)
@@ -331,40 +335,44 @@
         elif head.not_run and not head.is_wrong_incarnation:
             self.placement.note_refused(placed, now_s)
 
-    def heard_late(self, endpoint: Endpoint, head: ReplyHead) -> None:
+    def record_late_head(self, endpoint: Endpoint, head: ReplyHead) -> None:
         """Take note of a reply of an endpoint to a call that nobody waits for any more."""
-        self.gate.heard(endpoint.lifetime, head)
+        self.gate.apply_head(endpoint.lifetime, head)
 
-    def release(self, placed: PlacedCall, is_failure: bool | None) -> None:
+    def release_call(self, placed: PlacedCall, is_failure: bool | None) -> None:
         """Count a call no more."""
         self.placement.release(placed, is_failure)
 
-    def refuse(self, reply: CallerReply, permit: Permit, status: int, reason: str) -> None:
+    def send_refusal(
+        self, reply: CallerReply, permit: AdmittedRequest, status: int, reason: str
+    ) -> None:
         """Send an answer of the router's own."""
         retry_s = None
         if status == 503 and reason == HELD:
-            retry_s = max(LEAST_RETRY_S, self.crashes.retry_s(permit))
+            retry_s = max(MIN_RETRY_AFTER_S, self.crash_guard.retry_s(permit))
         elif status == 503:
-            retry_s = self.choosing.come_back_s(permit)
-        self.answers.send(reply, permit.ask.call_id, status, reason, retry_s)
+            retry_s = self.selector.retry_after_s(permit)
+        self.local_replies.send(reply, permit.request.call_id, status, reason, retry_s)
 
-    def finished(self, exchange: RequestState, outcome: str) -> None:
+    def request_finished(self, proxied: RequestState, outcome: str) -> None:
         """Take note that a request has its final answer."""
-        self.running.discard(exchange)
-        self.trials.ended(exchange.permit.service, exchange.permit.ask.session)
+        self.running_requests.discard(proxied)
+        self.canary_controller.ended(proxied.admitted.service, proxied.admitted.request.session)
         self.counters.outcomes[outcome] = self.counters.outcomes.get(outcome, 0) + 1
-        elapsed_s = round(self.clock.seconds() - exchange.permit.received_s, 4)
+        elapsed_s = round(self.clock.seconds() - proxied.admitted.received_s, 4)
         is_failure = outcome != "done"
-        self._count_burn(exchange, outcome)
-        self.decided(exchange, "request ended", is_failure, outcome=outcome, elapsed_s=elapsed_s)
+        self._count_burn(proxied, outcome)
+        self.log_decision(
+            proxied, "request ended", is_failure, outcome=outcome, elapsed_s=elapsed_s
+        )
         self.presence.check_idle()
 
     def _count_burn(self, exchange: RequestState, outcome: str) -> None:
-        permit = exchange.permit
-        if self.burn is None or outcome in SPENDS_NO_BUDGET:
+        permit = exchange.admitted
+        if self.burn is None or outcome in OUTCOMES_OF_CALLER:
             return
         customer = "" if permit.customer is None else permit.customer.name
-        answered_s = exchange.answered_s
+        answered_s = exchange.first_event_s
         ended_s = self.clock.seconds() if answered_s is None else answered_s
         latency_s = ended_s - permit.received_s
         self.burn.count(customer, permit.route.name, outcome == "done", latency_s)
@@ -376,22 +384,24 @@
         share = self.settings.good_share
         return {route.name: (share, route.objective_s) for route in self.table.document.routes}
 
-    def decided(self, exchange: RequestState, what: str, is_failure: bool, **facts: object) -> None:
+    def log_decision(
+        self, proxied: RequestState, message: str, is_failure: bool, **facts: object
+    ) -> None:
         """Write a decision to the log, with what it rests on."""
-        endpoint = exchange.endpoint
+        endpoint = proxied.endpoint
         assert self.table is not None
         limit = None if endpoint is None else self.gate.limits.get(endpoint.lifetime)
         if limit is not None:
             facts["limit_rate"] = limit.rate
         self.decisions.write(
-            what,
-            exchange.permit.ask.call_id,
+            message,
+            proxied.admitted.request.call_id,
             is_failure,
-            key=exchange.permit.key,
-            route=exchange.permit.route.name,
+            key=proxied.admitted.request_key,
+            route=proxied.admitted.route.name,
             endpoint=None if endpoint is None else endpoint.lifetime,
-            model=exchange.model,
-            sends=exchange.sends,
+            model=proxied.model,
+            sends=proxied.sends,
             configuration=self.table.document.number,
             registry_age_s=self.view.registry_age_s(),
             **facts,
--- a/umberhitch/tasks/direct/gateway_limits.py
+++ b/umberhitch/tasks/direct/gateway_limits.py
@@ -12,7 +12,7 @@
     RetryBudgetLimits,
 )
 from umberhitch.tasks.direct.feeds import FeedTiming
-from umberhitch.tasks.direct.services import ExchangeLimits
+from umberhitch.tasks.direct.services import ProxyTimeouts
 
 __all__ = ["GatewayCounters", "GatewaySettings"]
 
@@ -46,13 +46,15 @@
     zone: str
     link_mbps: float = 0.0
     proof_age_s: float = 4.5
-    behind_s: float = 2.8
+    max_lag_s: float = 2.8
     is_strict: bool = True
     drain_s: float = 8.0
     drain_notice_s: float = 2.6
     good_share: float = 0.99
-    operator_pace: FeedTiming = field(default_factory=lambda: FeedTiming(wait_s=1.6, pause_s=0.05))
-    endpoint_pace: FeedTiming = field(
+    operator_polling: FeedTiming = field(
+        default_factory=lambda: FeedTiming(wait_s=1.6, pause_s=0.05)
+    )
+    endpoint_polling: FeedTiming = field(
         default_factory=lambda: FeedTiming(wait_s=0.0, pause_s=0.95, timeouts_s=(0.5, 0.35, 1.0))
     )
     """Heartbeats come all the time, so calls are not held; one that is lost must not cost more than
@@ -62,9 +64,9 @@
     cold: ColdLimits = ColdLimits()
     engine_time: EngineTimeLimits = EngineTimeLimits()
     placement: PlacementLimits = PlacementLimits()
-    worth: AnswerValueLimits = AnswerValueLimits()
+    answer_value: AnswerValueLimits = AnswerValueLimits()
     limit_rules: LimitRules = LimitRules()
-    exchange: ExchangeLimits = ExchangeLimits()
+    timeouts: ProxyTimeouts = ProxyTimeouts()
 
 
 @dataclass(slots=True)
--- a/umberhitch/tasks/direct/silence_watch.py
+++ b/umberhitch/tasks/direct/idle_timer.py
@@ -4,10 +4,10 @@
 
 from umberhitch.ports.clock import Clock, Timer
 
-__all__ = ["SilenceWatch"]
+__all__ = ["IdleTimer"]
 
 
-class SilenceWatch:
+class IdleTimer:
     """Watches one call at a time.
 
     Parameters
@@ -23,16 +23,16 @@
         self._timer: Timer | None = None
 
     @property
-    def is_on(self) -> bool:
+    def is_running(self) -> bool:
         """Whether a call is watched."""
         return self._timer is not None
 
-    def begin(self, patience_s: float) -> None:
+    def restart(self, timeout_s: float) -> None:
         """Watch from now on, or anew."""
-        self.end()
-        self._timer = self._clock.callLater(patience_s, self._ring)
+        self.stop()
+        self._timer = self._clock.callLater(timeout_s, self._ring)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Watch no more."""
         timer, self._timer = self._timer, None
         if timer is not None and timer.active():
--- a/umberhitch/tasks/direct/intake.py
+++ b/umberhitch/tasks/direct/intake.py
@@ -8,25 +8,29 @@
 from umberhitch.errors import BadAskError
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import CallerReply, RawRequest, WirePort, do_nothing
-from umberhitch.tasks.direct.admission import STALE, Admission, Refusal
-from umberhitch.tasks.direct.choosing import Choosing
-from umberhitch.tasks.direct.come_back import HONOURED_SHARE, LEAST_RETRY_S, STARTING_RETRY_S
+from umberhitch.tasks.direct.admission import STALE_CONFIGURATION, Admission, Refusal
 from umberhitch.tasks.direct.crash_guard import CrashGuard
-from umberhitch.tasks.direct.exchange import HELD
+from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.tasks.direct.presence import Presence
-from umberhitch.tasks.direct.services import Permit
+from umberhitch.tasks.direct.proxied_request import HELD
+from umberhitch.tasks.direct.retry_after import (
+    HONORED_SHARE,
+    MIN_RETRY_AFTER_S,
+    STARTING_RETRY_AFTER_S,
+)
+from umberhitch.tasks.direct.services import AdmittedRequest
 from umberhitch.tasks.direct.store_view import StoreView
 
 __all__ = ["Intake"]
 
-PROOF_WAIT_S = 0.025
+MAX_PROOF_WAIT_S = 0.025
 """A router that stood still waits so long for the store's word before it refuses requests with
 keys: the store answers in some ms, and it is under a quarter of the shortest objective seen."""
 
-Leave = Callable[[], None]
+OnCallerLeft = Callable[[], None]
 
 
-class Answer(Protocol):
+class SendLocalReply(Protocol):
     """Sends an answer of the router's own."""
 
     def __call__(
@@ -35,7 +39,7 @@
         call_id: str | None,
         status: int,
         reason: str,
-        retry_s: float | None,
+        retry_after_s: float | None,
     ) -> None:
         """Send it whole."""
         ...
@@ -57,27 +61,29 @@
     view: StoreView
     admission: Admission
     presence: Presence
-    choosing: Choosing
-    crashes: CrashGuard
-    answer: Answer
-    begin: Callable[[Permit, CallerReply, bool], Leave]
+    selector: EndpointSelector
+    crash_guard: CrashGuard
+    send_reply: SendLocalReply
+    start_request: Callable[[AdmittedRequest, CallerReply, bool], OnCallerLeft]
 
-    def take(self, raw: RawRequest, reply: CallerReply) -> Leave:
+    def handle(self, raw: RawRequest, reply: CallerReply) -> OnCallerLeft:
         """Begin to answer a request; returns what is to be called if the caller leaves."""
         try:
             ask = self.wire.read_request(raw)
         except BadAskError as exc:
-            self.answer(reply, None, exc.status, str(exc), None)
+            self.send_reply(reply, None, exc.status, str(exc), None)
             return do_nothing
         permit = self._admit(ask, raw.received_s)
-        if permit is STALE and not self.view.operator_feed.is_failing:
+        if permit is STALE_CONFIGURATION and not self.view.operator_feed.is_failing:
             return self._wait_for_proof(ask, raw.received_s, reply)
         return self._go_on(ask, permit, reply)
 
-    def _admit(self, ask: CallerRequest, received_s: float) -> Permit | Refusal:
+    def _admit(self, ask: CallerRequest, received_s: float) -> AdmittedRequest | Refusal:
         return self.admission.admit(ask, received_s, not self.presence.is_drain_noticed)
 
-    def _wait_for_proof(self, ask: CallerRequest, received_s: float, reply: CallerReply) -> Leave:
+    def _wait_for_proof(
+        self, ask: CallerRequest, received_s: float, reply: CallerReply
+    ) -> OnCallerLeft:
         """Wait a moment for the store's answer: the process stood still, and wakes."""
         leave = do_nothing
 
@@ -85,7 +91,7 @@
             nonlocal leave
             leave = self._go_on(ask, self._admit(ask, received_s), reply)
 
-        timer = self.clock.callLater(PROOF_WAIT_S, go_on)
+        timer = self.clock.callLater(MAX_PROOF_WAIT_S, go_on)
 
         def on_left() -> None:
             if timer.active():
@@ -95,19 +101,21 @@
 
         return on_left
 
-    def _go_on(self, ask: CallerRequest, permit: Permit | Refusal, reply: CallerReply) -> Leave:
+    def _go_on(
+        self, ask: CallerRequest, permit: AdmittedRequest | Refusal, reply: CallerReply
+    ) -> OnCallerLeft:
         """Pass a request on, or refuse it."""
         if isinstance(permit, Refusal):
             retry_s = self._come_back_s(ask) if permit.status == 503 else None
-            self.answer(reply, ask.call_id, permit.status, permit.reason, retry_s)
+            self.send_reply(reply, ask.call_id, permit.status, permit.reason, retry_s)
             return do_nothing
-        if self.crashes.is_held(permit):
+        if self.crash_guard.is_held(permit):
             return self._ask_probe(permit, reply)
-        return self.begin(permit, reply, False)
+        return self.start_request(permit, reply, False)
 
-    def _ask_probe(self, permit: Permit, reply: CallerReply) -> Leave:
+    def _ask_probe(self, permit: AdmittedRequest, reply: CallerReply) -> OnCallerLeft:
         """Run a request that is held if that is allowed, else refuse it."""
-        ask = permit.ask
+        ask = permit.request
         leave = do_nothing
         has_left = False
 
@@ -115,23 +123,23 @@
             nonlocal leave
             if has_left:
                 if retry_s is None:
-                    self.crashes.sharing.probe_over(permit.key)
+                    self.crash_guard.sharing.probe_over(permit.request_key)
             elif retry_s is None:
-                leave = self.begin(permit, reply, True)
+                leave = self.start_request(permit, reply, True)
             else:
-                self.answer(reply, ask.call_id, 503, HELD, max(LEAST_RETRY_S, retry_s))
+                self.send_reply(reply, ask.call_id, 503, HELD, max(MIN_RETRY_AFTER_S, retry_s))
 
         def on_left() -> None:
             nonlocal has_left
             has_left = True
             leave()
 
-        chosen = self.choosing.endpoint(permit, self.choosing.first_model(permit), set())
+        chosen = self.selector.select_endpoint(permit, self.selector.first_model(permit), set())
         if chosen is None:
-            go_on(STARTING_RETRY_S)
+            go_on(STARTING_RETRY_AFTER_S)
         else:
             lease_s = min(ask.patience_s, permit.route.timeout_s)
-            self.crashes.ask_probe(permit, chosen.endpoint, lease_s, go_on)
+            self.crash_guard.ask_probe(permit, chosen.endpoint, lease_s, go_on)
         return on_left
 
     def _come_back_s(self, ask: CallerRequest) -> float:
@@ -145,5 +153,5 @@
         if self.presence.is_draining:
             return self.presence.retry_after_s()
         if not self.view.is_loaded and self.view.is_store_unavailable:
-            return max(STARTING_RETRY_S, HONOURED_SHARE * ask.patience_s)
-        return STARTING_RETRY_S
+            return max(STARTING_RETRY_AFTER_S, HONORED_SHARE * ask.patience_s)
+        return STARTING_RETRY_AFTER_S
--- a/umberhitch/tasks/direct/own_answers.py
+++ b/umberhitch/tasks/direct/local_replies.py
@@ -1,13 +1,13 @@
 """The answers of a router's own: requests that it refuses or gives up."""
 
 from umberhitch.ports.direct import CallerReply, HeaderList, WirePort
-from umberhitch.tasks.direct.come_back import LEAST_RETRY_S
-from umberhitch.tasks.direct.decisions import DecisionLog
+from umberhitch.tasks.direct.decision_log import DecisionLog
+from umberhitch.tasks.direct.retry_after import MIN_RETRY_AFTER_S
 
-__all__ = ["OwnAnswers"]
+__all__ = ["LocalReplies"]
 
 
-class OwnAnswers:
+class LocalReplies:
     """Makes and sends them, and counts them by their reason.
 
     Parameters
@@ -31,19 +31,19 @@
         call_id: str | None,
         status: int,
         reason: str,
-        retry_s: float | None,
+        retry_after_s: float | None,
     ) -> None:
         """Send an answer whole."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
         self._decisions.write("refused", call_id, True, status=status, reason=reason)
-        headers, body = self._make(call_id, reason, retry_s)
+        headers, body = self._make(call_id, reason, retry_after_s)
         reply.head(status, headers)
         reply.data(body)
         reply.end()
 
-    def to_unread(self, status: int, problem: str) -> tuple[HeaderList, bytes]:
+    def make_unread_reply(self, status: int, problem: str) -> tuple[HeaderList, bytes]:
         """Return headers and body of an answer to a request that was not taken."""
-        return self._make(None, problem, LEAST_RETRY_S if status in (408, 503) else None)
+        return self._make(None, problem, MIN_RETRY_AFTER_S if status in (408, 503) else None)
 
     def _make(
         self, call_id: str | None, reason: str, retry_s: float | None
--- a/umberhitch/tasks/direct/peers.py
+++ b/umberhitch/tasks/direct/peers.py
@@ -131,14 +131,14 @@
         """Whether the list of peers in the store is known."""
         self._is_stopped = False
         self._is_update_due = False
-        gateway.trials.follow(self.rank, self._schedule_updates)
-        gateway.gate.follow(self._membership.is_known_to_peers)
+        gateway.canary_controller.follow(self.rank, self._schedule_updates)
+        gateway.gate.follow_membership(self._membership.is_known_to_peers)
         gateway.gate.sharing.on_update = self._schedule_updates
-        gateway.trials.old_running = self.running_on_other_versions
+        gateway.canary_controller.old_running = self.running_on_other_versions
         gateway.presence.peer_available_in_s = self.peer_available_in_s
-        gateway.crashes.sharing.peers = self.peer_names
-        gateway.crashes.sharing.send = link.send
-        gateway.crashes.sharing.on_news = self._schedule_updates
+        gateway.crash_guard.sharing.peers = self.peer_names
+        gateway.crash_guard.sharing.send = link.send
+        gateway.crash_guard.sharing.on_news = self._schedule_updates
         sharing.peers = self.peer_names
         sharing.link_mbps = self.link_mbps
 
@@ -167,7 +167,7 @@
         if joined:
             self._send_full_state(joined)
         self._is_listed = True
-        self._gateway.budget.router_count = 1 + len(found)
+        self._gateway.retry_budget.router_count = 1 + len(found)
         log.info("peers", extra={"names": sorted(found)})
 
     def _send_full_state(self, names: Iterable[str]) -> None:
@@ -177,7 +177,10 @@
         router reads for itself. When 80 routers started together, this made 25 reads a second, 7
         with the reports.
         """
-        messages: list[Message] = [self._make_report(), *self._gateway.crashes.sharing.all_news()]
+        messages: list[Message] = [
+            self._make_report(),
+            *self._gateway.crash_guard.sharing.all_news(),
+        ]
         messages += self._gateway.gate.sharing.all_updates()
         for name in names:
             for message in messages:
@@ -194,7 +197,7 @@
             self._incarnation,
             self._seq,
             uses,
-            self._gateway.trials.reports(),
+            self._gateway.canary_controller.reports(),
             round(self._gateway.presence.available_in_s(), 2),
             self._gateway.settings.zone,
             self._gateway.settings.link_mbps,
@@ -207,7 +210,8 @@
         report = self._make_report()
         self._rounds += 1
         is_for_all = (
-            self._gateway.trials.is_any_open() or self._rounds % self._remote_report_every() == 0
+            self._gateway.canary_controller.is_any_open()
+            or self._rounds % self._remote_report_every() == 0
         )
         for name in self._peers:
             if is_for_all or not self._is_remote(name):
@@ -218,8 +222,8 @@
         """Resend the current state to a few peers, for routers that missed an update."""
         if self._is_stopped:
             return
-        self._gateway.gate.look()
-        updates: list[Message] = [*self._gateway.crashes.sharing.news_again()]
+        self._gateway.gate.refresh_shares()
+        updates: list[Message] = [*self._gateway.crash_guard.sharing.news_again()]
         updates += self._gateway.gate.sharing.updates_to_resend()
         for name in self._rng.sample(list(self._peers), min(RESEND_PEERS, len(self._peers))):
             for message in updates:
@@ -239,8 +243,8 @@
     def _send_updates(self) -> None:
         """Send all pending updates on roll-outs, crashes and limits to all peers."""
         self._is_update_due = False
-        messages: list[Message] = [*self._gateway.trials.take_news()]
-        messages += self._gateway.crashes.sharing.take_news()
+        messages: list[Message] = [*self._gateway.canary_controller.take_news()]
+        messages += self._gateway.crash_guard.sharing.take_news()
         messages += self._gateway.gate.sharing.pop_updates()
         for message in messages:
             for name in self._peers:
@@ -344,7 +348,7 @@
             )
         routers = 1 + max(len(reports), len(self._peers))
         if self._is_listed:
-            self._gateway.budget.router_count = routers
+            self._gateway.retry_budget.router_count = routers
         self._gateway.demand.router_count = routers
 
     def receive(self, sender: str, messages: list[Message]) -> None:
@@ -354,13 +358,13 @@
                 case PeerReport():
                     self._handle_report(message)
                 case BurnRequest() if self._gateway.burn is not None:
-                    self._gateway.burn.answer(sender, message)
+                    self._gateway.burn.handle_request(sender, message)
                 case BurnReply() if self._gateway.burn is not None:
-                    self._gateway.burn.take(sender, message)
+                    self._gateway.burn.handle_reply(sender, message)
                 case CanaryUpdate():
-                    self._gateway.trials.note_news(message)
+                    self._gateway.canary_controller.note_news(message)
                 case CrashUpdate() | ProbeRequest() | ProbeReply():
-                    self._gateway.crashes.receive(sender, message)
+                    self._gateway.crash_guard.receive(sender, message)
                 case EndpointUpdate():
                     self._gateway.gate.sharing.receive(sender, message)
                 case ViewRequest() | ViewReply():
@@ -376,7 +380,9 @@
         self._received[report.router] = _ReceivedReport(report, self._clock.seconds())
         self._link_mbps[report.router] = report.link_mbps
         self._last_reports.pop(report.router, None)
-        self._gateway.trials.take(f"{report.router}.{report.incarnation}", report.canaries)
+        self._gateway.canary_controller.take(
+            f"{report.router}.{report.incarnation}", report.canaries
+        )
 
 
 def _add_uses(one: EndpointUse, other: EndpointUse) -> EndpointUse:
--- a/umberhitch/tasks/direct/presence.py
+++ b/umberhitch/tasks/direct/presence.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from umberhitch.ports.clock import Clock
-from umberhitch.tasks.direct.come_back import LEAST_RETRY_S
+from umberhitch.tasks.direct.retry_after import MIN_RETRY_AFTER_S
 
 __all__ = ["Presence"]
 
@@ -96,4 +96,4 @@
         routers restarted in turn, three of them 2 s apart, callers with an immediate retry were
         refused twice: 61 of 5,400 requests, and 20 with this rule.
         """
-        return max(LEAST_RETRY_S, min(self.available_in_s(), self.peer_available_in_s()))
+        return max(MIN_RETRY_AFTER_S, min(self.available_in_s(), self.peer_available_in_s()))
--- a/umberhitch/tasks/direct/exchange.py
+++ b/umberhitch/tasks/direct/proxied_request.py
@@ -10,30 +10,30 @@
 from umberhitch.core.direct import Candidate, Endpoint, PlacedCall, ReplyHead, RouteKind
 from umberhitch.ports.clock import Timer
 from umberhitch.ports.direct import CallerReply, CallFailure, RunningCall
-from umberhitch.tasks.direct.judging import AnswerJudge
+from umberhitch.tasks.direct.answer_judge import AnswerJudge
+from umberhitch.tasks.direct.idle_timer import IdleTimer
 from umberhitch.tasks.direct.relay import Relay
-from umberhitch.tasks.direct.services import Permit, Run, Services
-from umberhitch.tasks.direct.silence_watch import SilenceWatch
+from umberhitch.tasks.direct.services import AdmittedRequest, Run, Services
 
-__all__ = ["HELD", "REFUSED_BY_ENDPOINT", "Exchange"]
+__all__ = ["HELD", "REFUSED_BY_ENDPOINT", "ProxiedRequest"]
 
-MAX_DIALS = 6
+MAX_CONNECT_FAILURES = 6
 """Endpoints that could not be reached, for one request."""
 REFUSED_BY_ENDPOINT = "refused by the endpoint"
 """Outcome of a request that the endpoint found wanting: the caller's fault."""
 HELD = "endpoints ended under it"
 """Reason of an answer to a request that is held."""
-LEAST_LEFT_S = 0.02
+MIN_REMAINING_S = 0.02
 """With less time left no call is begun."""
 
 
-class Exchange:
+class ProxiedRequest:
     """One request.
 
     Parameters
     ----------
     services : Services
-    permit : Permit
+    permit : AdmittedRequest
     reply : CallerReply
     is_probe : bool
         Whether the request is held and this is to show whether it still ends endpoints: it is sent
@@ -41,14 +41,18 @@
     """
 
     def __init__(
-        self, services: Services, permit: Permit, reply: CallerReply, is_probe: bool = False
+        self,
+        services: Services,
+        permit: AdmittedRequest,
+        reply: CallerReply,
+        is_probe: bool = False,
     ) -> None:
-        self.permit = permit
+        self.admitted = permit
         self._is_probe = is_probe
         self._svc = services
         self._reply = reply
         self._clock = services.clock
-        ask, route = permit.ask, permit.route
+        ask, route = permit.request, permit.route
         self._deadline_s = permit.received_s + min(ask.patience_s, route.timeout_s)
         self._sends = 0
         self._dials = 0
@@ -64,10 +68,10 @@
         self._relay = Relay(reply, ask.last_event_id, self._pause, self._resume)
         self._is_paused = False
         self._is_over = False
-        self.answered_s: float | None = None
+        self.first_event_s: float | None = None
         """When the first event of a stream was passed on."""
         self._deadline: Timer | None = None
-        self._silence = SilenceWatch(services.clock, self._on_stall)
+        self._silence = IdleTimer(services.clock, self._on_stall)
 
     # Life
 
@@ -75,7 +79,7 @@
         """Begin; returns what is to be called if the caller leaves."""
         left_s = self._deadline_s - self._clock.seconds()
         self._deadline = self._clock.callLater(max(0.0, left_s), self._on_deadline)
-        self._model = self._svc.choosing.first_model(self.permit)
+        self._model = self._svc.selector.first_model(self.admitted)
         self._next()
         return self._on_caller_left
 
@@ -85,7 +89,7 @@
         return self._relay.last_event
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Time until the final answer is due."""
         return self._deadline_s - self._clock.seconds()
 
@@ -108,10 +112,10 @@
         """Send the request to the next endpoint, or give up."""
         if self._is_over:
             return
-        if self.left_s < LEAST_LEFT_S:
+        if self.remaining_s < MIN_REMAINING_S:
             self._give_up("deadline")
             return
-        if self._sends >= self.permit.route.max_attempts:
+        if self._sends >= self.admitted.route.max_attempts:
             self._give_up("attempts")
             return
         if self._is_held():
@@ -119,9 +123,9 @@
             return
         chosen = self._choose()
         if chosen is None:
-            self._give_up(self._svc.choosing.reason)
+            self._give_up(self._svc.selector.failure_reason)
             return
-        if self._sends > 0 and not self._svc.may_repeat(self.permit.service):
+        if self._sends > 0 and not self._svc.acquire_retry(self.admitted.service):
             self._give_up("retry budget")
             return
         self._begin_call(chosen)
@@ -130,44 +134,44 @@
         """Whether the request may not be sent (again)."""
         if self._is_probe and self._sends == 0:
             return False
-        return self._is_probe or self._svc.crashes.is_held(self.permit)
+        return self._is_probe or self._svc.crash_guard.is_held(self.admitted)
 
     def _choose(self) -> Candidate | None:
         """Return an endpoint that has not been tried, or None."""
-        return self._svc.choosing.endpoint(self.permit, self._model, self._tried)
+        return self._svc.selector.select_endpoint(self.admitted, self._model, self._tried)
 
     def _begin_call(self, offer: Candidate) -> None:
         endpoint = self._endpoint = offer.endpoint
-        self._judge.call_sent(endpoint, self._model)
+        self._judge.start_call(endpoint, self._model)
         self._head = None
-        self._relay.call_sent()
+        self._relay.start_call()
         self._sends += 1
         self._tried.add(endpoint.lifetime)
-        self._run = self._svc.crashes.began(self.permit, endpoint, self._is_probe)
-        self._call, self._placed = self._svc.send(self.permit, endpoint, self._model, self)
-        self._svc.decided(
+        self._run = self._svc.crash_guard.start_run(self.admitted, endpoint, self._is_probe)
+        self._call, self._placed = self._svc.send(self.admitted, endpoint, self._model, self)
+        self._svc.log_decision(
             self,
             "call sent",
             False,
             version=endpoint.entry.version,
             expected_s=round(offer.wait_s, 4),
             delay_cost=round(offer.delay_cost, 3),
-            left_s=round(self.left_s, 3),
+            left_s=round(self.remaining_s, 3),
             after_event=None if self.last_event is None else self.last_event.decode("latin-1"),
         )
         if self._is_paused:
             self._call.pause()
-        try_s = self._svc.limits.try_s(self.permit.route)
+        try_s = self._svc.timeouts.attempt_timeout_s(self.admitted.route)
         if try_s is not None:
-            self._silence.begin(try_s)
+            self._silence.restart(try_s)
 
     def _end_call(self, is_failure: bool | None) -> None:
         """Count the present call no more."""
-        self._silence.end()
+        self._silence.stop()
         placed, self._placed = self._placed, None
         self._call = None
         if placed is not None:
-            self._svc.release(placed, is_failure)
+            self._svc.release_call(placed, is_failure)
 
     def _settle(self, tell: Callable[[Run], None]) -> None:
         """Tell how the present call went on: once, by what is known first."""
@@ -181,7 +185,7 @@
         """Try elsewhere what has been silent for too long, if that can be had."""
         if self._is_paused or self._call is None:
             return
-        can_repeat = self._sends < self.permit.route.max_attempts
+        can_repeat = self._sends < self.admitted.route.max_attempts
         if not can_repeat or self._choose() is None:
             return
         self._call.cancel()
@@ -191,7 +195,7 @@
         """Give up the present call."""
         assert self._call is not None
         self._call.cancel()
-        self._settle(self._svc.crashes.left)
+        self._settle(self._svc.crash_guard.record_cancelled)
         self._end_call(None)
 
     def _on_deadline(self) -> None:
@@ -215,9 +219,9 @@
         assert self._endpoint is not None
         assert self._placed is not None
         self._head = head
-        self._svc.began(self._placed, head)
+        self._svc.record_head(self._placed, head)
         if self._run is not None and not head.is_wrong_incarnation:
-            self._svc.crashes.answered(self._run)
+            self._svc.crash_guard.record_head(self._run)
         if head.not_run:
             self._on_not_run(head)
         elif head.is_success:
@@ -228,14 +232,14 @@
     def on_late_head(self, head: ReplyHead) -> None:
         """Take a reply to an earlier call: it tells of the endpoint all the same."""
         assert self._endpoint is not None
-        self._svc.heard_late(self._endpoint, head)
+        self._svc.record_late_head(self._endpoint, head)
 
     def _on_not_run(self, head: ReplyHead) -> None:
         assert self._endpoint is not None
         if head.is_wrong_incarnation:
-            self._svc.moved(self._endpoint)
-        self._settle(self._svc.crashes.not_run)
-        self._svc.decided(self, "call not run", True, status=head.status)
+            self._svc.mark_address_reused(self._endpoint)
+        self._settle(self._svc.crash_guard.record_not_run)
+        self._svc.log_decision(self, "call not run", True, status=head.status)
         self._go_on(None)
 
     def _go_on(self, is_failure: bool | None) -> None:
@@ -258,19 +262,19 @@
         larger = None
         if self._may_escalate():
             assert self._model is not None
-            waited_s = self._clock.seconds() - self.permit.received_s
-            larger = self._svc.choosing.larger_model(
-                self.permit, self._model, head.confidence, waited_s
+            waited_s = self._clock.seconds() - self.admitted.received_s
+            larger = self._svc.selector.larger_model(
+                self.admitted, self._model, head.confidence, waited_s
             )
-        if larger is not None and self._svc.may_repeat(self.permit.service):
+        if larger is not None and self._svc.acquire_retry(self.admitted.service):
             self._escalate(larger)
             return
-        if self.permit.route.kind is RouteKind.STREAM:
-            self._relay.begin_stream(head)
+        if self.admitted.route.kind is RouteKind.STREAM:
+            self._relay.start_stream(head)
             self._watch_gap()
 
     def _may_escalate(self) -> bool:
-        has_sends = self._sends < self.permit.route.max_attempts
+        has_sends = self._sends < self.admitted.route.max_attempts
         return self._model is not None and has_sends and not self._is_held()
 
     def _escalate(self, larger: str) -> None:
@@ -278,7 +282,7 @@
         assert self._call is not None
         assert self._endpoint is not None
         confidence = None if self._head is None else self._head.confidence
-        self._svc.decided(self, "answer dropped", False, confidence=confidence, larger=larger)
+        self._svc.log_decision(self, "answer dropped", False, confidence=confidence, larger=larger)
         self._leave_call()
         previous = self._model
         self._model = larger
@@ -294,19 +298,19 @@
         """Handle a failure that the endpoint itself reports; it ran."""
         self._may_have_run = True
         is_server_side = head.status >= 500
-        self._svc.decided(self, "endpoint failed", True, status=head.status)
-        self._settle(self._svc.crashes.ended)
+        self._svc.log_decision(self, "endpoint failed", True, status=head.status)
+        self._settle(self._svc.crash_guard.record_completed)
         if is_server_side:
-            self._judge.failed()
+            self._judge.record_failure()
         if self._relay.is_streaming or (is_server_side and self._can_repeat()):
             self._go_on(is_server_side)
 
     def _can_repeat(self) -> bool:
-        route = self.permit.route
+        route = self.admitted.route
         return (
             route.is_repeatable
             and self._sends < route.max_attempts
-            and self.left_s > LEAST_LEFT_S
+            and self.remaining_s > MIN_REMAINING_S
             and self._choose() is not None
         )
 
@@ -325,28 +329,28 @@
             self._broken(str(exc))
             return
         if has_events:
-            if self.answered_s is None:
-                self.answered_s = self._clock.seconds()
-            self._judge.events_seen(self._relay.events)
+            if self.first_event_s is None:
+                self.first_event_s = self._clock.seconds()
+            self._judge.record_events(self._relay.event_count)
 
     def _watch_gap(self) -> None:
-        if self.permit.route.is_repeatable:
-            self._silence.begin(self._svc.limits.gap_factor * self.permit.route.gap_s)
+        if self.admitted.route.is_repeatable:
+            self._silence.restart(self._svc.timeouts.gap_factor * self.admitted.route.gap_s)
 
     def on_end(self) -> None:
         """Take the end of the reply."""
         assert self._head is not None
         assert self._endpoint is not None
-        if not self._relay.is_whole:
+        if not self._relay.is_at_event_boundary:
             self._broken("ended within an event")
             return
-        self._settle(self._svc.crashes.ended)
+        self._settle(self._svc.crash_guard.record_completed)
         is_failure = self._head.status >= 500
         if not is_failure:
             if self._relay.is_streaming:
-                self._judge.stream_ended()
+                self._judge.finish_stream()
             else:
-                self._judge.reply_ended()
+                self._judge.finish_reply()
         self._end_call(is_failure)
         self._relay.end(self._head)
         if self._head.is_success:
@@ -366,13 +370,13 @@
 
     def _not_sent(self, detail: str, is_ended: bool) -> None:
         assert self._endpoint is not None
-        self._svc.decided(self, "endpoint not reached", True, detail=detail)
-        self._svc.unreachable(self._endpoint, is_ended)
-        self._settle(self._svc.crashes.never_sent)
+        self._svc.log_decision(self, "endpoint not reached", True, detail=detail)
+        self._svc.mark_unreachable(self._endpoint, is_ended)
+        self._settle(self._svc.crash_guard.record_not_sent)
         self._end_call(True)
         self._sends -= 1
         self._dials += 1
-        if self._dials >= MAX_DIALS:
+        if self._dials >= MAX_CONNECT_FAILURES:
             self._give_up("no endpoint reached")
             return
         self._next()
@@ -380,18 +384,20 @@
     def _broken(self, detail: str) -> None:
         """A call was sent, and how it ended is not known."""
         assert self._endpoint is not None
-        self._svc.decided(self, "call broken", True, detail=detail, had_head=self._head is not None)
+        self._svc.log_decision(
+            self, "call broken", True, detail=detail, had_head=self._head is not None
+        )
         self._may_have_run = True
         if self._head is None:
-            self._svc.unreachable(self._endpoint)
-        self._settle(self._svc.crashes.broke)
+            self._svc.mark_unreachable(self._endpoint)
+        self._settle(self._svc.crash_guard.record_broken)
         self._end_call(True)
-        self._relay.call_broken()
+        self._relay.drop_partial_event()
         if self._relay.is_streaming:
             # Part of the answer is out: an endpoint that broke off before may go on with it.
             self._tried = {self._endpoint.lifetime}
-        is_passing = self._relay.has_begun and not self._relay.is_streaming
-        if is_passing or not self.permit.route.is_repeatable:
+        is_passing = self._relay.has_started and not self._relay.is_streaming
+        if is_passing or not self.admitted.route.is_repeatable:
             self._give_up("unknown outcome")
             return
         self._next()
@@ -402,26 +408,26 @@
         """Send the final answer."""
         if self._is_over:
             return
-        if self._relay.has_begun:
+        if self._relay.has_started:
             self._relay.abort()
             self._finish(f"broken off: {reason}")
             return
         if not self._may_have_run:
-            self._svc.refuse(self._reply, self.permit, 503, reason)
+            self._svc.send_refusal(self._reply, self.admitted, 503, reason)
         else:
             status = 504 if reason == "deadline" else 502
-            self._svc.refuse(self._reply, self.permit, status, reason)
+            self._svc.send_refusal(self._reply, self.admitted, status, reason)
         self._finish(f"given up: {reason}")
 
     def _finish(self, outcome: str) -> None:
         self._is_over = True
-        self._silence.end()
+        self._silence.stop()
         deadline, self._deadline = self._deadline, None
         if deadline is not None and deadline.active():
             deadline.cancel()
-        self._svc.finished(self, outcome)
+        self._svc.request_finished(self, outcome)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break off: the process stops."""
         if self._is_over:
             return
@@ -441,5 +447,5 @@
         self._is_paused = False
         if self._call is not None:
             self._call.resume()
-            if not self._silence.is_on and self._relay.is_streaming:
+            if not self._silence.is_running and self._relay.is_streaming:
                 self._watch_gap()  # it ran out meanwhile
--- a/umberhitch/tasks/direct/relay.py
+++ b/umberhitch/tasks/direct/relay.py
@@ -7,7 +7,7 @@
 
 __all__ = ["Relay"]
 
-MAX_PLAIN_BYTES = 1_048_576
+MAX_BUFFERED_BYTES = 1_048_576
 """A plain reply up to this size is passed on only when it is whole."""
 
 
@@ -44,12 +44,12 @@
         self._is_passing = False
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Whether the caller has any of a reply."""
         return self.is_streaming or self._is_passing
 
     @property
-    def is_whole(self) -> bool:
+    def is_at_event_boundary(self) -> bool:
         """Whether no piece of an event is held back."""
         return self._cutter.is_at_boundary
 
@@ -59,19 +59,19 @@
         return self._cutter.last_id
 
     @property
-    def events(self) -> int:
+    def event_count(self) -> int:
         """Whole events so far."""
         return self._cutter.count
 
-    def call_sent(self) -> None:
+    def start_call(self) -> None:
         """Forget what is held of the reply to an earlier call."""
         self._held.clear()
 
-    def call_broken(self) -> None:
+    def drop_partial_event(self) -> None:
         """Forget the piece of an event that is held back: its run has ended."""
         self._cutter.discard_partial()
 
-    def begin_stream(self, head: ReplyHead) -> None:
+    def start_stream(self, head: ReplyHead) -> None:
         """Begin a stream with the head of its first endpoint."""
         self.is_streaming = True
         self._begin(head)
@@ -99,7 +99,7 @@
             self._reply.data(data)
             return
         self._held += data
-        if len(self._held) > MAX_PLAIN_BYTES:
+        if len(self._held) > MAX_BUFFERED_BYTES:
             self._is_passing = True
             self._begin(head)
             self._reply.data(bytes(self._held))
@@ -107,7 +107,7 @@
 
     def end(self, head: ReplyHead) -> None:
         """End the reply as complete."""
-        if not self.has_begun:
+        if not self.has_started:
             self._send_whole(head, bytes(self._held))
         self._reply.end()
 
--- a/umberhitch/tasks/direct/come_back.py
+++ b/umberhitch/tasks/direct/retry_after.py
@@ -1,10 +1,10 @@
 """When callers that are refused are told to come again."""
 
-__all__ = ["HONOURED_SHARE", "LEAST_RETRY_S", "STARTING_RETRY_S"]
+__all__ = ["HONORED_SHARE", "MIN_RETRY_AFTER_S", "STARTING_RETRY_AFTER_S"]
 
-LEAST_RETRY_S = 0.1
+MIN_RETRY_AFTER_S = 0.1
 """Soonest time to come back that a refusal names."""
-STARTING_RETRY_S = 0.5
+STARTING_RETRY_AFTER_S = 0.5
 """Time to come back that is named while there is no configuration, or no endpoint."""
-HONOURED_SHARE = 1 / 3
+HONORED_SHARE = 1 / 3
 """Callers honour a time to come back up to such a share of the time that they have left."""
