--- a/umberhitch/tasks/direct/send_gate.py
+++ b/umberhitch/tasks/direct/send_gate.py
@@ -26,7 +26,7 @@
     SignalKind,
 )
 from umberhitch.ports.clock import Clock
-from umberhitch.tasks.direct.come_back import HONOURED_SHARE, LEAST_RETRY_S
+from umberhitch.tasks.direct.retry_after import HONORED_SHARE, MIN_RETRY_AFTER_S
 from umberhitch.tasks.direct.signal_sharing import SignalSharing
 from umberhitch.tasks.direct.unknown_headers import UnknownHeaders
 
@@ -34,12 +34,12 @@
 
 log = getLogger(__name__)
 
-OWN_WORD = "its answer"
+OWN_REPLY = "its answer"
 """Source of what an endpoint said here."""
 
-RETURN_SPREAD_S = 1.0
+RETRY_SPREAD_S = 1.0
 """Callers that were refused since all endpoints rest come back within so long of the first end."""
-GOLDEN_SHARE = 0.618034
+GOLDEN_RATIO_CONJUGATE = 0.618034
 """Multiples of it, modulo 1, are spread evenly whatever their number."""
 
 Urgency = tuple[int, float]
@@ -85,13 +85,13 @@
     ) -> None:
         self.shares = FleetShare(name)
         self.limits = AdvertisedLimits()
-        self.unknown = UnknownHeaders()
+        self.unknown_headers = UnknownHeaders()
         self.rules = rules or LimitRules()
         self.closed = ClosedEndpoints(name)
         self.sharing = SignalSharing(
             clock, self.limits, self.closed, self._limit_changed, self._has_left
         )
-        self.on_leaving: Callable[[str], None] = lambda lifetime: None
+        self.on_draining: Callable[[str], None] = lambda lifetime: None
         self.cold_used_up = 0
         self.limit_used_up = 0
         self._cold = cold or ColdLimits()
@@ -105,11 +105,11 @@
         self._promised_s: dict[str, float] = {}
         """By service, the latest time to come back that a refusal has named."""
 
-    def follow(self, is_settled: Callable[[], bool]) -> None:
+    def follow_membership(self, is_settled: Callable[[], bool]) -> None:
         """Take whether this router's place among the others is sure."""
         self._is_settled = is_settled
 
-    def look(self) -> None:
+    def refresh_shares(self) -> None:
         """Look at the seat; to be called each second."""
         self.shares.update_registration(self._is_settled(), self._clock.seconds())
 
@@ -123,7 +123,7 @@
 
     # What may be sent
 
-    def opener(self) -> Callable[[Endpoint], bool] | None:
+    def open_filter(self) -> Callable[[Endpoint], bool] | None:
         """Return what tells whether an endpoint is open by its own word; None where all are."""
         if not self.closed:
             return None
@@ -134,21 +134,21 @@
         """Whether any endpoint of a service may have a bound."""
         return len(self.limits) > 0 or (service is not None and service.cold_rate > 0.0)
 
-    def bearing(
+    def with_quota(
         self, service: Service | None, endpoints: list[Endpoint], urgency: Urgency
     ) -> list[Endpoint]:
         """Return the endpoints that bear one more call of this router."""
         cold_rate = 0.0 if service is None else service.cold_rate
         now_s = self._clock.seconds()
-        self.look()
-        kept = 0 if service is None else self._kept(service.name, urgency, now_s)
+        self.refresh_shares()
+        kept = 0 if service is None else self._reserved_calls(service.name, urgency, now_s)
         found = [
             each
             for each in endpoints
             if self._bears_cold(each, cold_rate, now_s) and self._bears_limit(each, kept, now_s)
         ]
         if endpoints and not found and service is not None:
-            self._note_refused(service.name, urgency, now_s)
+            self._record_refused(service.name, urgency, now_s)
         return found
 
     def _bears_cold(self, endpoint: Endpoint, rate: float, now_s: float) -> bool:
@@ -179,20 +179,20 @@
     def _may_look(self, limit: AdvertisedLimit, now_s: float) -> bool:
         return self.limits.may_recheck(limit, self.shares.router_count, self._jitter, now_s)
 
-    def _kept(self, service: str, urgency: Urgency, now_s: float) -> int:
+    def _reserved_calls(self, service: str, urgency: Urgency, now_s: float) -> int:
         """Return how much of a share is left: for a more urgent call that found none of late."""
         refused = self._refused.get(service)
         if refused is None or now_s > refused.at_s + self.rules.span_s:
             return 0
         return int(refused.urgency < urgency)
 
-    def _note_refused(self, service: str, urgency: Urgency, now_s: float) -> None:
+    def _record_refused(self, service: str, urgency: Urgency, now_s: float) -> None:
         refused = self._refused.get(service)
         is_over = refused is None or now_s > refused.at_s + self.rules.span_s
         if refused is None or is_over or urgency <= refused.urgency:
             self._refused[service] = _Refused(urgency, now_s)
 
-    def sent(self, endpoint: Endpoint, service: Service | None) -> None:
+    def record_sent(self, endpoint: Endpoint, service: Service | None) -> None:
         """Count a call that is sent."""
         self.closed.note_sent(endpoint.lifetime, self._clock.seconds())
         limit = self.limits.get(endpoint.lifetime)
@@ -203,7 +203,7 @@
         if limit is not None:
             limit.rechecked_s = now_s
 
-    def come_back_s(
+    def retry_after_s(
         self,
         service: str,
         endpoints: list[Endpoint],
@@ -232,55 +232,55 @@
         if rates:
             at_s = self._limits_come_back_s(service, first_s, rates, now_s)
         else:
-            self._note_refused(service, urgency, now_s)
-            at_s = now_s + first_s + self._spread_s(service, urgency)
-        at_s = min(at_s, now_s + max(LEAST_RETRY_S, HONOURED_SHARE * left_s))
+            self._record_refused(service, urgency, now_s)
+            at_s = now_s + first_s + self._retry_spread_s(service, urgency)
+        at_s = min(at_s, now_s + max(MIN_RETRY_AFTER_S, HONORED_SHARE * left_s))
         if rates:
             self._promised_s[service] = at_s
-        return max(LEAST_RETRY_S, at_s - now_s)
+        return max(MIN_RETRY_AFTER_S, at_s - now_s)
 
     def _limits_come_back_s(
         self, service: str, first_s: float, rates: list[float], now_s: float
     ) -> float:
         """Return the next time at which the limits let a caller of this router through."""
         gap_s = self.shares.router_count / sum(rates)
-        first_s = max(LEAST_RETRY_S, gap_s if first_s == inf else first_s)
+        first_s = max(MIN_RETRY_AFTER_S, gap_s if first_s == inf else first_s)
         return max(now_s + first_s, self._promised_s.get(service, now_s) + gap_s)
 
-    def _spread_s(self, service: str, urgency: Urgency) -> float:
+    def _retry_spread_s(self, service: str, urgency: Urgency) -> float:
         """Return how much later than the end of a rest a caller is to come: urgent ones first."""
         number = self._returning[service] = self._returning.get(service, 0) + 1
-        share = (number * GOLDEN_SHARE) % 1.0
+        share = (number * GOLDEN_RATIO_CONJUGATE) % 1.0
         is_urgent = urgency <= self._refused[service].urgency
-        return RETURN_SPREAD_S * (share if is_urgent else 1.0 + share) / 2
+        return RETRY_SPREAD_S * (share if is_urgent else 1.0 + share) / 2
 
     # What is known
 
-    def heard(self, lifetime: str, head: ReplyHead) -> None:
+    def apply_head(self, lifetime: str, head: ReplyHead) -> None:
         """Take what the head of any reply of an endpoint says."""
         if head.is_wrong_incarnation:
             return
         now_s = self._clock.seconds()
-        self.unknown.note(lifetime, head.signals)
+        self.unknown_headers.record(lifetime, head.signals)
         if head.signals.is_draining and self.closed.apply_draining(
-            lifetime, now_s, OWN_WORD, now_s
+            lifetime, now_s, OWN_REPLY, now_s
         ):
-            self._has_left(lifetime, OWN_WORD)
+            self._has_left(lifetime, OWN_REPLY)
             self.sharing.note_draining(lifetime)
         self._hear_rest(lifetime, head, now_s)
         self._hear_limit(lifetime, head, now_s)
 
     def _has_left(self, lifetime: str, source: str) -> None:
         self._log(lifetime, SignalKind.DRAINING, "begun", source)
-        self.on_leaving(lifetime)
+        self.on_draining(lifetime)
 
     def _hear_rest(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
         rest_s = head.signals.backoff_s
         if rest_s is not None:
             if self.closed.apply_backoff(lifetime, rest_s, self.shares.router_count, now_s):
-                self._log(lifetime, SignalKind.BACKOFF, "begun", OWN_WORD, rest_s=rest_s)
+                self._log(lifetime, SignalKind.BACKOFF, "begun", OWN_REPLY, rest_s=rest_s)
         elif not head.not_run and self.closed.note_answer(lifetime, now_s):
-            self._log(lifetime, SignalKind.BACKOFF, "ended", OWN_WORD)
+            self._log(lifetime, SignalKind.BACKOFF, "ended", OWN_REPLY)
 
     def _hear_limit(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
         limit = head.signals.limit
@@ -289,7 +289,7 @@
             return  # a refusal that names none may be in short; an answer tells that it is over
         change = self.limits.apply_answer(lifetime, rate, now_s)
         if change is not LimitChange.NONE:
-            self._limit_changed(lifetime, change, OWN_WORD)
+            self._limit_changed(lifetime, change, OWN_REPLY)
             self.sharing.note_limit_changed(lifetime)
 
     def _limit_changed(self, lifetime: str, change: LimitChange, source: str) -> None:
@@ -299,7 +299,7 @@
             return
         bound = self.rules.bound(limit.rate)
         if change is LimitChange.STARTED:
-            self.look()
+            self.refresh_shares()
             self.shares.assume_used(lifetime, bound, self._clock.seconds())
         share = self.shares.quota(lifetime, bound)
         self._log(lifetime, SignalKind.LIMIT, change.value, source, rate=limit.rate, share=share)
--- a/umberhitch/tasks/direct/services.py
+++ b/umberhitch/tasks/direct/services.py
@@ -18,19 +18,19 @@
 from umberhitch.ports.direct import CallerReply, CallEvents, RunningCall
 
 __all__ = [
-    "ChoosingPort",
+    "AdmittedRequest",
     "CrashGuardPort",
-    "ExchangeLimits",
-    "Permit",
+    "EndpointSelectorPort",
+    "ProxyTimeouts",
     "RequestState",
     "Run",
     "Services",
-    "place_of",
+    "service_version_of",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class ExchangeLimits:
+class ProxyTimeouts:
     """Times in seconds, or as multiples of what the route says.
 
     Attributes
@@ -45,33 +45,33 @@
         No call is given up before.
     """
 
-    try_objectives: float = 2.5
+    attempt_objectives: float = 2.5
     first_event_objectives: float = 2.0
     gap_factor: float = 2.5
-    least_try_s: float = 0.25
+    min_attempt_s: float = 0.25
 
-    def try_s(self, route: Route) -> float | None:
+    def attempt_timeout_s(self, route: Route) -> float | None:
         """Return how long a call may be silent before it is tried elsewhere, if it may be."""
         match route.kind:
             case RouteKind.STREAM if route.is_repeatable:
-                return max(self.least_try_s, self.first_event_objectives * route.objective_s)
+                return max(self.min_attempt_s, self.first_event_objectives * route.objective_s)
             case RouteKind.IDEMPOTENT:
-                return max(self.least_try_s, self.try_objectives * route.objective_s)
+                return max(self.min_attempt_s, self.attempt_objectives * route.objective_s)
         return None
 
 
 @dataclass(slots=True)
-class Permit:
+class AdmittedRequest:
     """What the configuration says of a request that it admits."""
 
-    ask: CallerRequest
+    request: CallerRequest
     route: Route
     service: str
     customer: Customer | None
     received_s: float
     wants_target: bool | None
     """Whether it goes to the new version of a roll-out; None without one."""
-    key: str = ""
+    request_key: str = ""
     """Names the request when it comes again, see `request_key`."""
 
 
@@ -81,7 +81,7 @@
 
     Attributes
     ----------
-    permit : Permit
+    permit : AdmittedRequest
     endpoint : Endpoint
     began_s : float
         When it was sent.
@@ -91,19 +91,19 @@
         When the head of the reply came: the endpoint had begun to run it.
     """
 
-    permit: Permit
+    admitted: AdmittedRequest
     endpoint: Endpoint
-    began_s: float
+    sent_s: float
     is_probe: bool
     head_s: float | None = None
 
     @property
-    def place(self) -> str:
+    def service_version(self) -> str:
         """Return service and version that runs it."""
-        return place_of(self.endpoint)
+        return service_version_of(self.endpoint)
 
 
-def place_of(endpoint: Endpoint) -> str:
+def service_version_of(endpoint: Endpoint) -> str:
     """Return the service of an endpoint and the version that it runs."""
     return f"{endpoint.entry.service}/{endpoint.entry.version}"
 
@@ -111,8 +111,8 @@
 class RequestState(CallEvents, Protocol):
     """One request under way, as its router sees it."""
 
-    permit: Permit
-    answered_s: float | None
+    admitted: AdmittedRequest
+    first_event_s: float | None
 
     @property
     def last_event(self) -> bytes | None:
@@ -120,7 +120,7 @@
         ...
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Time until the final answer is due."""
         ...
 
@@ -139,12 +139,12 @@
         """Endpoint that was asked last."""
         ...
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break off: the process stops."""
         ...
 
 
-class ChoosingPort(Protocol):
+class EndpointSelectorPort(Protocol):
     """Chooses model and endpoint for each call of a request.
 
     Attributes
@@ -153,19 +153,21 @@
         Why the last choice found no endpoint.
     """
 
-    reason: str
+    failure_reason: str
 
-    def first_model(self, permit: Permit) -> str | None:
+    def first_model(self, permit: AdmittedRequest) -> str | None:
         """Return the model to begin with."""
         ...
 
     def larger_model(
-        self, permit: Permit, model: str, confidence: int | None, waited_s: float
+        self, permit: AdmittedRequest, model: str, confidence: int | None, waited_s: float
     ) -> str | None:
         """Return the model to ask instead, or None to keep the answer."""
         ...
 
-    def endpoint(self, permit: Permit, model: str | None, tried: set[str]) -> Candidate | None:
+    def select_endpoint(
+        self, permit: AdmittedRequest, model: str | None, tried: set[str]
+    ) -> Candidate | None:
         """Return where a call goes, or None where no endpoint takes work."""
         ...
 
@@ -173,35 +175,35 @@
 class CrashGuardPort(Protocol):
     """Knows under which requests endpoints end, and is told of all calls."""
 
-    def is_held(self, permit: Permit) -> bool:
+    def is_held(self, permit: AdmittedRequest) -> bool:
         """Whether a request is run by probes only."""
         ...
 
-    def began(self, permit: Permit, endpoint: Endpoint, is_probe: bool) -> Run:
+    def start_run(self, permit: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
         """Take note that a call is sent; what is returned names it in the others."""
         ...
 
-    def answered(self, run: Run) -> None:
+    def record_head(self, run: Run) -> None:
         """Take note that it has the head of its reply."""
         ...
 
-    def ended(self, run: Run) -> None:
+    def record_completed(self, run: Run) -> None:
         """Take note that it has its whole reply: its endpoint lives after it."""
         ...
 
-    def not_run(self, run: Run) -> None:
+    def record_not_run(self, run: Run) -> None:
         """Take note that the endpoint has not run it."""
         ...
 
-    def left(self, run: Run) -> None:
+    def record_cancelled(self, run: Run) -> None:
         """Take note that it was given up here."""
         ...
 
-    def broke(self, run: Run) -> None:
+    def record_broken(self, run: Run) -> None:
         """Take note that it broke, or was silent for too long."""
         ...
 
-    def never_sent(self, run: Run) -> None:
+    def record_not_sent(self, run: Run) -> None:
         """Take note that there was no connection for it."""
         ...
 
@@ -210,78 +212,84 @@
     """What a request needs of its router."""
 
     clock: Clock
-    limits: ExchangeLimits
+    timeouts: ProxyTimeouts
 
     @property
-    def choosing(self) -> ChoosingPort:
+    def selector(self) -> EndpointSelectorPort:
         """Chooses model and endpoint."""
         ...
 
     @property
-    def crashes(self) -> CrashGuardPort:
+    def crash_guard(self) -> CrashGuardPort:
         """Knows under which requests endpoints end."""
         ...
 
     def send(
-        self, permit: Permit, endpoint: Endpoint, model: str | None, call: RequestState
+        self, permit: AdmittedRequest, endpoint: Endpoint, model: str | None, call: RequestState
     ) -> tuple[RunningCall, PlacedCall]:
         """Send the request to an endpoint."""
         ...
 
-    def may_repeat(self, service: str) -> bool:
+    def acquire_retry(self, service: str) -> bool:
         """Take one repeat from the shared budget, if there is one."""
         ...
 
-    def paced(
+    def judge_latency(
         self,
-        permit: Permit,
+        permit: AdmittedRequest,
         endpoint: Endpoint,
         model: str | None,
-        pace_s: float,
+        latency_s: float,
         since_s: float,
     ) -> AnswerVerdict:
         """Take note of a pace measured from a time on, and return what it says of the answer."""
         ...
 
-    def noted(self, permit: Permit, endpoint: Endpoint, verdict: AnswerVerdict) -> None:
+    def record_verdict(
+        self, permit: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
+    ) -> None:
         """Take note of how an endpoint answered."""
         ...
 
-    def unreachable(self, endpoint: Endpoint, is_ended: bool = False) -> None:
+    def mark_unreachable(self, endpoint: Endpoint, has_exited: bool = False) -> None:
         """Take note that an endpoint could not be reached or went silent.
 
         Parameters
         ----------
         endpoint : Endpoint
-        is_ended : bool
+        has_exited : bool
             Whether nothing listens at its address any more.
         """
         ...
 
-    def moved(self, endpoint: Endpoint) -> None:
+    def mark_address_reused(self, endpoint: Endpoint) -> None:
         """Take note that another incarnation has the endpoint's address."""
         ...
 
-    def began(self, placed: PlacedCall, head: ReplyHead) -> None:
+    def record_head(self, placed: PlacedCall, head: ReplyHead) -> None:
         """Take note that a reply has begun."""
         ...
 
-    def heard_late(self, endpoint: Endpoint, head: ReplyHead) -> None:
+    def record_late_head(self, endpoint: Endpoint, head: ReplyHead) -> None:
         """Take note of a reply of an endpoint to a call that nobody waits for any more."""
         ...
 
-    def release(self, placed: PlacedCall, is_failure: bool | None) -> None:
+    def release_call(self, placed: PlacedCall, is_failure: bool | None) -> None:
         """Count a call no more."""
         ...
 
-    def refuse(self, reply: CallerReply, permit: Permit, status: int, reason: str) -> None:
+    def send_refusal(
+        self, reply: CallerReply, permit: AdmittedRequest, status: int, reason: str
+    ) -> None:
         """Send an answer of the router's own."""
         ...
 
-    def finished(self, exchange: RequestState, outcome: str) -> None:
+    def request_finished(self, proxied: RequestState, outcome: str) -> None:
         """Take note that a request has its final answer."""
         ...
 
-    def decided(self, exchange: RequestState, what: str, is_failure: bool, **facts: object) -> None:
+    def log_decision(
+        self, proxied: RequestState, message: str, is_failure: bool, **facts: object
+    ) -> None:
         """Write a decision to the log."""
         ...
--- a/umberhitch/tasks/direct/signal_table.py
+++ b/umberhitch/tasks/direct/signal_table.py
@@ -10,11 +10,11 @@
 from umberhitch.core.direct import Directory, SignalKind
 from umberhitch.tasks.direct.send_gate import SendGate
 
-__all__ = ["StandingSignal", "standing_signals"]
+__all__ = ["ActiveSignal", "active_signals"]
 
 
 @dataclass(frozen=True, slots=True)
-class StandingSignal:
+class ActiveSignal:
     """One thing that one lifetime of an endpoint has said.
 
     Attributes
@@ -35,11 +35,11 @@
     kind: SignalKind
     source: str
     age_s: float | None = None
-    left_s: float | None = None
+    remaining_s: float | None = None
     details: dict[str, float] = field(default_factory=dict)
 
 
-def standing_signals(gate: SendGate, directory: Directory, now_s: float) -> list[StandingSignal]:
+def active_signals(gate: SendGate, directory: Directory, now_s: float) -> list[ActiveSignal]:
     """Return what stands now, by kind and endpoint."""
     return [
         *_leaving(gate, now_s),
@@ -49,19 +49,19 @@
     ]
 
 
-def _leaving(gate: SendGate, now_s: float) -> Iterator[StandingSignal]:
+def _leaving(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
     for lifetime, word in gate.closed.draining.items():
-        yield StandingSignal(lifetime, SignalKind.DRAINING, word.source, now_s - word.received_s)
+        yield ActiveSignal(lifetime, SignalKind.DRAINING, word.source, now_s - word.received_s)
 
 
-def _rests(gate: SendGate, now_s: float) -> Iterator[StandingSignal]:
+def _rests(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
     for lifetime, rest in gate.closed.backoffs.items():
         age_s, left_s = now_s - rest.received_s, max(0.0, rest.until_s - now_s)
         opens = {"opens_in_s": round(max(0.0, rest.resume_s - now_s), 3)}
-        yield StandingSignal(lifetime, SignalKind.BACKOFF, "its answer", age_s, left_s, opens)
+        yield ActiveSignal(lifetime, SignalKind.BACKOFF, "its answer", age_s, left_s, opens)
 
 
-def _limits(gate: SendGate, now_s: float) -> Iterator[StandingSignal]:
+def _limits(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
     for lifetime, limit in gate.limits:
         bound = gate.rules.bound(limit.rate)
         details = {
@@ -72,10 +72,10 @@
             "used": gate.shares.used(lifetime, bound, now_s),
         }
         age_s = now_s - limit.received_s
-        yield StandingSignal(lifetime, SignalKind.LIMIT, limit.source, age_s, None, details)
+        yield ActiveSignal(lifetime, SignalKind.LIMIT, limit.source, age_s, None, details)
 
 
-def _cold(directory: Directory, now_s: float) -> Iterator[StandingSignal]:
+def _cold(directory: Directory, now_s: float) -> Iterator[ActiveSignal]:
     for each in directory.cold_endpoints(now_s):
         left_s = max(each.cold_until_s, each.presumed_cold_until_s) - now_s
-        yield StandingSignal(each.lifetime, SignalKind.COLD, each.cold_source, None, left_s)
+        yield ActiveSignal(each.lifetime, SignalKind.COLD, each.cold_source, None, left_s)
--- a/umberhitch/tasks/direct/tests/test_crash_blame.py
+++ b/umberhitch/tasks/direct/tests/test_crash_blame.py
@@ -8,7 +8,7 @@
 
 from umberhitch.core.direct import AnswerVerdict
 from umberhitch.fakes import Reply
-from umberhitch.tasks.direct.exchange import HELD
+from umberhitch.tasks.direct.proxied_request import HELD
 from umberhitch.testing import CrashingFleet, CrashShape, DirectAsk
 
 LONG = Reply(events=60, gap_s=0.05)
@@ -102,10 +102,10 @@
     fleet = CrashingFleet(reply=SHORT)
     fleet.every(0.4, 4.0, lambda n: fleet.ask(n, "/draft/x"))
     fleet.world.run(30.0)
-    key = fleet.all_routers[0].gateway.crashes.record.suspects()[0]
+    key = fleet.all_routers[0].gateway.crash_guard.record.suspects()[0]
     for endpoint in fleet.ever:
         endpoint.crashing = {}
-    assert fleet.all_routers[2].gateway.crashes.sharing.release(key)
+    assert fleet.all_routers[2].gateway.crash_guard.sharing.release(key)
     fleet.world.run(0.5)
     ask = fleet.ask(0, "/draft/x")
     fleet.world.run(2.0)
@@ -116,8 +116,8 @@
     """Collect what is said against versions from now on."""
     found: list[AnswerVerdict] = []
     for router in fleet.all_routers:
-        note = router.gateway.trials.note
-        router.gateway.trials.note = lambda *args, _note=note: (
+        note = router.gateway.canary_controller.note
+        router.gateway.canary_controller.note = lambda *args, _note=note: (
             found.append(args[-1]),
             _note(*args),
         )
@@ -154,7 +154,7 @@
     fleet.ask(0, "/draft/x", body=b"other")
     fleet.world.run(2.0)
     assert verdicts.count(AnswerVerdict.BROKEN) >= 3
-    assert not fleet.all_routers[0].gateway.crashes.record.suspects()
+    assert not fleet.all_routers[0].gateway.crash_guard.record.suspects()
 
 
 def test_an_endpoint_that_said_that_it_leaves_is_no_crash():
@@ -166,7 +166,7 @@
     fleet.world.run(2.0)
     at.crash()
     fleet.world.run(1.0)
-    assert not fleet.all_routers[0].gateway.crashes.record.suspects()
+    assert not fleet.all_routers[0].gateway.crash_guard.record.suspects()
     fleet.world.run(5.0)
     assert ask.reply.is_complete
 
@@ -176,7 +176,7 @@
     fleet.ask(0, "/order/x")
     fleet.world.clock.advance(0.0005)
     fleet.world.run(0.1)
-    assert len(fleet.all_routers[0].gateway.crashes.record) == 1
+    assert len(fleet.all_routers[0].gateway.crash_guard.record) == 1
 
 
 def test_what_was_just_sent_beside_an_older_call_is_not_blamed():
@@ -187,4 +187,4 @@
     fleet.world.clock.advance(0.0005)
     fleet.ever[0].crash()
     fleet.world.run(0.1)
-    assert len(fleet.all_routers[0].gateway.crashes.record) == 1
+    assert len(fleet.all_routers[0].gateway.crash_guard.record) == 1
--- a/umberhitch/tasks/direct/tests/test_crash_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_crash_mutations.py
@@ -10,8 +10,8 @@
 from umberhitch.tasks.direct.crash_guard import CrashGuard
 from umberhitch.tasks.direct.crash_sharing import CrashSharing
 from umberhitch.tasks.direct.crash_watch import CrashWatch
-from umberhitch.tasks.direct.exchange import HELD
 from umberhitch.tasks.direct.probing import Probing
+from umberhitch.tasks.direct.proxied_request import HELD
 from umberhitch.testing import CrashingFleet
 
 SHORT = Reply(events=8, gap_s=0.05)
--- a/umberhitch/tasks/direct/tests/test_crash_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_crash_sharing.py
@@ -65,8 +65,8 @@
     for number in range(8):
         decided.append(fleet.ask(number, "/draft/x"))
         fleet.world.run(0.5)
-    own = fleet.all_routers[0].gateway.crashes.sharing.arbiter(
-        fleet.all_routers[0].gateway.crashes.record.suspects()[0]
+    own = fleet.all_routers[0].gateway.crash_guard.sharing.arbiter(
+        fleet.all_routers[0].gateway.crash_guard.record.suspects()[0]
     )
     refused = [ask.status for n, ask in enumerate(decided) if f"r{n % 4}" != own]
     assert refused == [503] * 6
--- a/umberhitch/tasks/direct/tests/test_leaving_and_rest.py
+++ b/umberhitch/tasks/direct/tests/test_draining_and_backoff.py
@@ -13,7 +13,7 @@
 from umberhitch.fakes import FakeEndpoint, Reply
 from umberhitch.ports.direct import CallFailure
 from umberhitch.tasks.direct.membership import MembershipLimits
-from umberhitch.tasks.direct.send_gate import RETURN_SPREAD_S
+from umberhitch.tasks.direct.send_gate import RETRY_SPREAD_S
 from umberhitch.tasks.direct.tests import test_named_limits as limits
 from umberhitch.tasks.direct.tests import test_zones as zones
 from umberhitch.testing import (
@@ -178,7 +178,7 @@
     world, _ = _one_router(Reply(is_silent=True), _quiet)
     world.ask(world.routers["r000"], "/order/x")
     world.run(0.02)
-    (exchange,) = world.routers["r000"].gateway.running
+    (exchange,) = world.routers["r000"].gateway.running_requests
     exchange.on_late_head(ReplyHead(503, signals=say))
     assert _knows(world) == {"l0"}
 
@@ -196,7 +196,7 @@
 def test_an_odd_word_and_a_time_of_zero_close_nothing(signals: HeadSignals):
     world, _ = _one_router(Reply(), _quiet)
     router = world.routers["r000"]
-    router.gateway.gate.heard("l0", ReplyHead(503, not_run=True, signals=signals))
+    router.gateway.gate.apply_head("l0", ReplyHead(503, not_run=True, signals=signals))
     asks = [world.ask(router, "/look/x") for _ in range(20)]
     world.run(0.1)
     assert {ask.status for ask in asks} == {200}
@@ -208,7 +208,7 @@
     router = world.routers["r000"]
     world.ask(router, "/look/x")
     world.run(0.1)
-    router.gateway.gate.heard("l0", ReplyHead(200, signals=HeadSignals(malformed=("x",))))
+    router.gateway.gate.apply_head("l0", ReplyHead(200, signals=HeadSignals(malformed=("x",))))
     assert world.ask(router, "/look/x").status == 503
     assert len(endpoint.calls) == 1
 
@@ -316,8 +316,8 @@
     world.run(1.0)
     leaving.crash()
     world.run(1.0)
-    assert router.gateway.crashes.watch.crashes == 0
-    assert list(router.gateway.crashes.record.held(world.clock.seconds())) == []
+    assert router.gateway.crash_guard.watch.crashes == 0
+    assert list(router.gateway.crash_guard.record.held(world.clock.seconds())) == []
 
 
 # Rest
@@ -406,7 +406,7 @@
     assert {ask.status for ask in asks} == {503}
     backs_s = sorted(now_s + float(ask.reply.headers[b"Come-Back"]) for ask in asks)
     assert backs_s[0] >= began_s + 2.0
-    assert backs_s[-1] <= began_s + 2.0 + RETURN_SPREAD_S + 0.1
+    assert backs_s[-1] <= began_s + 2.0 + RETRY_SPREAD_S + 0.1
     assert len({round(at_s, 2) for at_s in backs_s}) >= 20
 
 
@@ -444,7 +444,7 @@
     router = world.routers["r000"]
     refusal = ReplyHead(503, not_run=True, signals=HeadSignals(backoff_s=600.0))
     for number in range(len(waiting)):
-        router.gateway.gate.heard(f"l{number}", refusal)
+        router.gateway.gate.apply_head(f"l{number}", refusal)
     asks = [world.ask(router, "/look/x") for _ in range(50)]
     world.run(1.0)
     assert {ask.status for ask in asks} == {200}
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -8,7 +8,7 @@
 from umberhitch.core.direct import AdvertisedLimits, FleetShare, LimitChange, LimitRules
 from umberhitch.core.direct import _fleet_share as fleet_share
 from umberhitch.core.direct.tests import test_advertised_limits as core
-from umberhitch.tasks.direct.choosing import Choosing
+from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.tasks.direct.send_gate import SendGate
 from umberhitch.tasks.direct.signal_sharing import SignalSharing
 from umberhitch.tasks.direct.tests import test_named_limits as limits
@@ -23,7 +23,7 @@
 
 
 def the_choice_ignores_it(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Choosing, "_bearing", lambda self, permit, found: found)
+    patch.setattr(EndpointSelector, "_bearing", lambda self, permit, found: found)
     return lambda: limits.test_no_kind_of_send_goes_past_a_named_limit(limits.zones.KINDS[0])
 
 
@@ -71,7 +71,7 @@
 
 
 def an_odd_word_ends_it(patch: pytest.MonkeyPatch) -> Test:
-    heard = SendGate.heard
+    heard = SendGate.apply_head
 
     def hear_all(self: SendGate, endpoint: object, head: object) -> None:
         clear = replace(head.signals.limit, is_malformed=False)
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -9,8 +9,8 @@
 
 from umberhitch.core.direct import Endpoint, EventSplitter, ReplyHead, Route
 from umberhitch.core.direct._members import Members
-from umberhitch.tasks.direct.exchange import Exchange
 from umberhitch.tasks.direct.gateway import Gateway
+from umberhitch.tasks.direct.proxied_request import ProxiedRequest
 from umberhitch.tasks.direct.shared_view import SharedView
 from umberhitch.tasks.direct.store_view import StoreView
 from umberhitch.tasks.direct.tests.test_fuzz import DirectMachine
@@ -26,7 +26,7 @@
 
 
 def refuse_as_not_run(patch: pytest.MonkeyPatch) -> None:
-    refuse = Gateway.refuse
+    refuse = Gateway.send_refusal
     patch.setattr(
         Gateway,
         "refuse",
@@ -72,16 +72,16 @@
 
 
 def never_give_up(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Exchange, "_on_deadline", lambda self: None)
+    patch.setattr(ProxiedRequest, "_on_deadline", lambda self: None)
 
 
 def take_unsigned_successes(patch: pytest.MonkeyPatch) -> None:
-    on_success = Exchange._on_success
+    on_success = ProxiedRequest._on_success
 
-    def signed(self: Exchange, head: ReplyHead) -> None:
+    def signed(self: ProxiedRequest, head: ReplyHead) -> None:
         on_success(self, ReplyHead(head.status, head.headers, head.call_id, is_signed=True))
 
-    patch.setattr(Exchange, "_on_success", signed)
+    patch.setattr(ProxiedRequest, "_on_success", signed)
 
 
 def hold_what_has_ended(patch: pytest.MonkeyPatch) -> None:
--- a/umberhitch/tasks/direct/tests/test_exchange.py
+++ b/umberhitch/tasks/direct/tests/test_proxied_request.py
@@ -141,7 +141,7 @@
     world.run(0.05)
     ask.leave()
     assert endpoint.cancelled == [ask.call_id]
-    assert not router.gateway.running
+    assert not router.gateway.running_requests
     assert all(world.clock.seconds() + 5 > call.getTime() for call in world.clock.calls)
 
 
--- a/umberhitch/tasks/direct/tests/test_word_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_signal_fuzz.py
@@ -16,7 +16,7 @@
 SPEAKING = ("w0", "w1", "w2")
 
 
-class WordMachine(LimitMachine):
+class SignalMachine(LimitMachine):
     """Besides limits: endpoints leave, rest, serve again, lapse, are born anew."""
 
     @initialize()
@@ -85,7 +85,7 @@
             assert set(sent_while_resting(each)) <= {0}
 
 
-TestWords = WordMachine.TestCase
+TestWords = SignalMachine.TestCase
 TestWords.settings = settings(max_examples=25, stateful_step_count=20, deadline=None)
 
 
@@ -123,4 +123,4 @@
         report_multiple_bugs=False,
     )
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(WordMachine, settings=quick)
+        run_state_machine_as_test(SignalMachine, settings=quick)
--- a/umberhitch/tasks/direct/tests/test_word_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_signal_mutations.py
@@ -10,9 +10,9 @@
 from umberhitch.core.direct._members import Members
 from umberhitch.tasks.direct.send_gate import SendGate
 from umberhitch.tasks.direct.signal_sharing import SignalSharing
+from umberhitch.tasks.direct.tests import test_draining_and_backoff as words
 from umberhitch.tasks.direct.tests import test_herding as herding
-from umberhitch.tasks.direct.tests import test_leaving_and_rest as words
-from umberhitch.tasks.direct.tests import test_word_pairs as pairs
+from umberhitch.tasks.direct.tests import test_signal_pairs as pairs
 from umberhitch.testing._mutations import Mutation, assert_missed
 
 Test = Callable[[], None]
@@ -52,7 +52,7 @@
 
 
 def others_at_the_address_are_believed(patch: pytest.MonkeyPatch) -> Test:
-    heard = SendGate.heard
+    heard = SendGate.apply_head
 
     def hear_all(self: SendGate, lifetime: str, head: object) -> None:
         object.__setattr__(head, "is_wrong_incarnation", False)
@@ -145,7 +145,7 @@
 
 def nobody_goes_first(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SendGate, "_note_refused", lambda self, service, urgency, now_s: None)
-    spread = SendGate._spread_s
+    spread = SendGate._retry_spread_s
 
     def spread_alike(self: SendGate, service: str, urgency: tuple) -> float:
         self._refused[service] = type("Any", (), {"urgency": (99, 0.0)})()
--- a/umberhitch/tasks/direct/tests/test_word_pairs.py
+++ b/umberhitch/tasks/direct/tests/test_signal_pairs.py
@@ -6,7 +6,7 @@
 
 from umberhitch.core.direct import ClosedEndpoints
 from umberhitch.fakes import Reply
-from umberhitch.tasks.direct.tests import test_leaving_and_rest as words
+from umberhitch.tasks.direct.tests import test_draining_and_backoff as words
 from umberhitch.tasks.direct.tests import test_named_limits as limits
 from umberhitch.testing import (
     DirectWorld,
--- a/umberhitch/tasks/direct/tests/test_store.py
+++ b/umberhitch/tasks/direct/tests/test_store.py
@@ -187,7 +187,7 @@
     world.add_endpoint("e1")
     router = world.ready_router()
     noticed, done = [], []
-    router.gateway.leave(lambda: noticed.append(True), lambda: done.append(True))
+    router.gateway.drain(lambda: noticed.append(True), lambda: done.append(True))
     assert not router.gateway.is_ready
     req = world.ask(router, "/look/x")
     world.run(1.0)
@@ -206,7 +206,7 @@
     router = world.ready_router()
     running = world.ask(router, "/draft/x")
     done = []
-    router.gateway.leave(lambda: None, lambda: done.append(True))
+    router.gateway.drain(lambda: None, lambda: done.append(True))
     world.run(2.7)
     late = world.ask(router, "/draft/x")
     unary = world.ask(router, "/look/x")
@@ -245,7 +245,7 @@
 
 
 def _drain(world: DirectWorld, name: str) -> None:
-    world.routers[name].gateway.leave(lambda: None, lambda: None)
+    world.routers[name].gateway.drain(lambda: None, lambda: None)
 
 
 def test_streams_refused_while_all_routers_drain_retry_when_the_first_is_available():
--- a/umberhitch/tasks/direct/tests/test_stored_holds.py
+++ b/umberhitch/tasks/direct/tests/test_stored_holds.py
@@ -48,8 +48,8 @@
     fleet = CrashingFleet(reply=STREAM)
     fleet.every(0.4, 2.0, lambda n: fleet.ask(n, "/draft/x"))
     fleet.world.run(3.0)
-    key = fleet.all_routers[0].gateway.crashes.record.suspects()[0]
-    fleet.all_routers[1].gateway.crashes.sharing.release(key)
+    key = fleet.all_routers[0].gateway.crash_guard.record.suspects()[0]
+    fleet.all_routers[1].gateway.crash_guard.sharing.release(key)
     fleet.world.run(1.0)
     assert fleet.world.held == {}
 
@@ -77,4 +77,4 @@
     fleet.world.run(5.0)
     late.holds_port._faults.is_down = False
     fleet.world.run(6.0)
-    assert len(late.gateway.crashes.record) == 1
+    assert len(late.gateway.crash_guard.record) == 1
--- a/umberhitch/tasks/direct/tests/test_unknown_headers.py
+++ b/umberhitch/tasks/direct/tests/test_unknown_headers.py
@@ -8,7 +8,7 @@
     caplog.set_level("INFO")
     unknown = UnknownHeaders()
     for _ in range(3):
-        unknown.note("i-1", HeadSignals(unknown=((b"server-mood", b"low" * 100),)))
+        unknown.record("i-1", HeadSignals(unknown=((b"server-mood", b"low" * 100),)))
     assert unknown.counts == {"server-mood": 3}
     (record,) = caplog.records
     assert (record.header, len(record.value)) == ("server-mood", 80)
@@ -17,7 +17,7 @@
 def test_names_are_bounded_in_number_and_length(caplog):
     unknown = UnknownHeaders()
     for number in range(10 * MAX_NAMES):
-        unknown.note("i-1", HeadSignals(unknown=((b"x-%d-" % number + b"y" * 200, b"\xff"),)))
+        unknown.record("i-1", HeadSignals(unknown=((b"x-%d-" % number + b"y" * 200, b"\xff"),)))
     assert len(unknown.counts) == MAX_NAMES
     assert unknown.others == 9 * MAX_NAMES
     assert max(map(len, unknown.counts)) == 60
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -6,7 +6,7 @@
 
 from umberhitch.core.direct import Directory, Endpoint, FleetShare
 from umberhitch.core.direct._members import Members
-from umberhitch.tasks.direct.choosing import Choosing
+from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.tasks.direct.membership import Membership
 from umberhitch.tasks.direct.store_view import StoreView
 from umberhitch.tasks.direct.tests import test_cold as cold
@@ -84,7 +84,7 @@
 
 
 def the_choice_ignores_the_share(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(Choosing, "_bearing", lambda self, permit, found: found)
+    patch.setattr(EndpointSelector, "_bearing", lambda self, permit, found: found)
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
--- a/umberhitch/tasks/direct/tests/test_zones.py
+++ b/umberhitch/tasks/direct/tests/test_zones.py
@@ -7,7 +7,7 @@
 from umberhitch.core.direct import RouteKind
 from umberhitch.fakes import FakeEndpoint, Reply
 from umberhitch.ports.direct import CallFailure
-from umberhitch.tasks.direct.choosing import Choosing
+from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.testing import DirectRouter, DirectWorld, make_direct_document, make_route
 
 IN_FORCE_S = 5.0
@@ -167,7 +167,7 @@
 def test_all_calls_take_their_endpoints_from_one_place(monkeypatch):
     """A call that found its endpoint elsewhere would be sent although nothing is offered there."""
     world = _world()
-    monkeypatch.setattr(Choosing, "endpoint", lambda self, permit, model, tried: None)
+    monkeypatch.setattr(EndpointSelector, "endpoint", lambda self, permit, model, tried: None)
     for send in KINDS:
         send(world)
     assert _calls(world, "a") == _calls(world, "b") == 0
--- a/umberhitch/tasks/direct/unknown_headers.py
+++ b/umberhitch/tasks/direct/unknown_headers.py
@@ -15,8 +15,8 @@
 
 MAX_NAMES = 64
 """Names that are kept; of further ones only how many headers they had is counted."""
-MAX_NAME = 60
-MAX_VALUE = 80
+MAX_NAME_CHARS = 60
+MAX_VALUE_CHARS = 80
 """Characters that are shown."""
 
 
@@ -37,15 +37,15 @@
     others: int = 0
     unclear: dict[str, int] = field(default_factory=dict)
 
-    def note(self, lifetime: str, signals: HeadSignals) -> None:
+    def record(self, lifetime: str, signals: HeadSignals) -> None:
         """Count what a reply of an endpoint has."""
         for raw_name, value in signals.unknown:
-            name = raw_name[:MAX_NAME].decode("latin-1")
+            name = raw_name[:MAX_NAME_CHARS].decode("latin-1")
             if name in self.counts:
                 self.counts[name] += 1
             elif len(self.counts) < MAX_NAMES:
                 self.counts[name] = 1
-                shown = value[:MAX_VALUE].decode("latin-1")
+                shown = value[:MAX_VALUE_CHARS].decode("latin-1")
                 facts = {"header": name, "value": shown, "endpoint": lifetime}
                 log.warning("unknown header of an endpoint", extra=facts)
             else:
--- a/umberhitch/tasks/evidence.py
+++ b/umberhitch/tasks/evidence.py
@@ -18,14 +18,14 @@
 from umberhitch.core.outcome import Done, Outcome, Reason, Unknown
 from umberhitch.ports import Clock
 from umberhitch.ports.rating import RatingPort
-from umberhitch.tasks.parts import RouterParts
+from umberhitch.tasks.router_parts import RouterParts
 from umberhitch.wire import EngineWork, Evidence, ServiceWork
 
 __all__ = ["EvidenceTask", "judges_of"]
 
 log = getLogger(__name__)
 
-JUDGES = 2
+JUDGES_PER_VERSION = 2
 """Routers that judge a version; either may quarantine it."""
 MAX_RATINGS_IN_FLIGHT = 200
 MAX_RATED_CHARS = 20_000
@@ -41,7 +41,7 @@
         return xxh3_64_intdigest(f"{version}\0{name}".encode())
 
     ranked = sorted(routers, key=weight, reverse=True)
-    return ranked[:JUDGES]
+    return ranked[:JUDGES_PER_VERSION]
 
 
 class EvidenceTask:
@@ -78,7 +78,7 @@
         self.alarms: list[Alarm] = []
         self.on_alarm: Callable[[Alarm], None] | None = None
 
-    def ended(
+    def note_attempt_finished(
         self,
         target: str,
         klass: str,
@@ -111,13 +111,13 @@
         if rating is not None:
             self._book.record_rating(target, klass, rating)
 
-    def pass_on(self) -> None:
+    def send_evidence(self) -> None:
         """Send what was observed to the judges of each version; called once a second."""
         own = self._router.settings.name
         for evidence in self._book.flush():
             for judge in self._listeners(evidence.version):
                 if judge == own:
-                    self.take(evidence)
+                    self.handle_evidence(evidence)
                 else:
                     self._router.send(judge, evidence)
 
@@ -135,7 +135,7 @@
             listeners.add(driver)
         return listeners
 
-    def take(self, evidence: Evidence) -> None:
+    def handle_evidence(self, evidence: Evidence) -> None:
         """Judge one router's evidence, and quarantine a version that is found bad."""
         ver = self._router.feed.config.versions.get(evidence.version)
         if ver is None or ver.state is not VersionState.ACTIVE:
@@ -187,7 +187,7 @@
         )
         self.alarms.append(alarm)
         self.judge.reset(alarm.version)
-        self._router.change(change).addErrback(lambda failure: None)
+        self._router.submit_change(change).addErrback(lambda failure: None)
         if self.on_alarm is not None:
             self.on_alarm(alarm)
 
--- a/umberhitch/tasks/fleet.py
+++ b/umberhitch/tasks/fleet.py
@@ -9,8 +9,8 @@
 __all__ = ["EMPTY_POOL", "Endpoint", "Fleet", "FleetLimits", "Pool", "make_pool"]
 
 
-BEATS_TO_SILENCE = 3
-FILLED_WEIGHT = 0.1
+MAX_MISSED_HEARTBEATS = 3
+OCCUPANCY_WEIGHT = 0.1
 """How much filled slots count beside urgent work: little enough only to decide between equals."""
 
 
@@ -31,11 +31,11 @@
         For how long at first, and at most; it doubles from one ejection to the next.
     """
 
-    silence_s: float = 3.0
-    floor: float = 0.5
-    eject_after: int = 3
-    eject_first_s: float = 2.0
-    eject_most_s: float = 60.0
+    min_heartbeat_timeout_s: float = 3.0
+    min_usable_share: float = 0.5
+    ejection_failures: int = 3
+    base_ejection_s: float = 2.0
+    max_ejection_s: float = 60.0
 
 
 @dataclass(slots=True)
@@ -49,27 +49,27 @@
     """Of the newest agent heard; -1 before the first heartbeat."""
     targets: tuple[str, ...] = ()
     state: EndpointState = EndpointState.READY
-    is_listed_leaving: bool = False
+    is_listed_draining: bool = False
     revision: int = -1
     """Of its agent's configuration, as of the last heartbeat."""
     sent_revision: int = -1
     """Up to which its agent was sent the configuration, whether or not it arrived."""
-    is_fed: bool = True
+    is_config_pushed: bool = True
     """Whether this router sends its agent each change unasked."""
     is_loading: bool = False
     """Whether it is loading a version, so that what it serves is about to change."""
-    reported: int = 0
+    reported_attempts: int = 0
     """Attempts running and queued as of the last heartbeat."""
-    reported_own: int = 0
+    own_at_heartbeat: int = 0
     """Attempts of this router in flight when that heartbeat came."""
     slots: int = 1
-    own: int = 0
+    own_attempts: int = 0
     """Attempts of this router in flight now."""
-    urgent: int = 0
+    reported_urgent: int = 0
     """Urgent attempts running and queued as of the last heartbeat."""
-    urgent_own: int = 0
-    urgent_reported_own: int = 0
-    heard_s: float = -1.0
+    own_urgent: int = 0
+    own_urgent_at_heartbeat: int = 0
+    last_heartbeat_s: float = -1.0
     failures: int = 0
     """Consecutive attempts that failed or were refused by the back end."""
     ejections: int = 0
@@ -82,22 +82,28 @@
         What is urgent overtakes the rest of the queue, so that for it only urgent work counts, and
         other work as far as it fills the slots.
         """
-        whole = max(self.own, self.reported + self.own - self.reported_own) / self.slots
+        whole = (
+            max(
+                self.own_attempts,
+                self.reported_attempts + self.own_attempts - self.own_at_heartbeat,
+            )
+            / self.slots
+        )
         if not is_urgent:
             return whole
-        since = self.urgent_own - self.urgent_reported_own
-        urgent = max(self.urgent_own, self.urgent + since) / self.slots
-        return urgent + FILLED_WEIGHT * min(1.0, whole)
+        since = self.own_urgent - self.own_urgent_at_heartbeat
+        urgent = max(self.own_urgent, self.reported_urgent + since) / self.slots
+        return urgent + OCCUPANCY_WEIGHT * min(1.0, whole)
 
-    def enter(self, is_urgent: bool) -> None:
+    def note_attempt_started(self, is_urgent: bool) -> None:
         """Count an attempt of this router in."""
-        self.own += 1
-        self.urgent_own += is_urgent
+        self.own_attempts += 1
+        self.own_urgent += is_urgent
 
-    def leave(self, is_urgent: bool) -> None:
+    def note_attempt_finished(self, is_urgent: bool) -> None:
         """Count an attempt of this router out."""
-        self.own = max(0, self.own - 1)
-        self.urgent_own = max(0, self.urgent_own - is_urgent)
+        self.own_attempts = max(0, self.own_attempts - 1)
+        self.own_urgent = max(0, self.own_urgent - is_urgent)
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,17 +154,19 @@
     clock: Clock
     limits: FleetLimits = field(default_factory=FleetLimits)
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
-    silence_s: float = 0.0
+    heartbeat_timeout_s: float = 0.0
     """How long an agent may be silent; grows with the pace of heartbeats."""
     _by_target: dict[str, list[Endpoint]] = field(default_factory=dict)
     _pools: dict[str, Pool] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.set_pace(0.0)
+        self.set_heartbeat_interval(0.0)
 
-    def set_pace(self, beat_s: float) -> None:
+    def set_heartbeat_interval(self, beat_s: float) -> None:
         """Expect agents to be heard this often; three missed heartbeats are silence."""
-        self.silence_s = max(self.limits.silence_s, BEATS_TO_SILENCE * beat_s)
+        self.heartbeat_timeout_s = max(
+            self.limits.min_heartbeat_timeout_s, MAX_MISSED_HEARTBEATS * beat_s
+        )
 
     def get(self, name: str) -> Endpoint | None:
         """Return an endpoint by name."""
@@ -175,16 +183,16 @@
         self._pools.clear()
         now = self.clock.seconds()
         for name, endpoint in list(self.endpoints.items()):
-            is_silent = now - endpoint.heard_s > self.silence_s
-            if name not in listed and is_silent and not endpoint.own:
+            is_silent = now - endpoint.last_heartbeat_s > self.heartbeat_timeout_s
+            if name not in listed and is_silent and not endpoint.own_attempts:
                 self._remove(endpoint)
         return [endpoint for endpoint in moved if endpoint is not None]
 
-    def release(self, names: Iterable[str]) -> None:
+    def forget_endpoints(self, names: Iterable[str]) -> None:
         """Forget endpoints that other routers serve now, unless work runs there."""
         for name in names:
             endpoint = self.endpoints.get(name)
-            if endpoint is not None and not endpoint.own:
+            if endpoint is not None and not endpoint.own_attempts:
                 self._remove(endpoint)
 
     def _update_host(self, host: Host) -> Endpoint | None:
@@ -194,18 +202,18 @@
             endpoint = Endpoint(host.name, host.zone, host.address)
             self.endpoints[host.name] = endpoint
         endpoint.address = host.address
-        endpoint.is_listed_leaving = host.state is HostState.LEAVING
+        endpoint.is_listed_draining = host.state is HostState.LEAVING
         return endpoint if is_new else None
 
     def _remove(self, endpoint: Endpoint) -> None:
         del self.endpoints[endpoint.name]
         self._index(endpoint, ())
 
-    def sweep(self) -> None:
+    def refresh_pools(self) -> None:
         """Look for endpoints that have fallen silent; called at the pace of heartbeats."""
         self._pools.clear()
 
-    def hear(self, beat: Heartbeat) -> int | None:
+    def handle_heartbeat(self, beat: Heartbeat) -> int | None:
         """Take a heartbeat; returns the incarnation that it replaces, if it does."""
         endpoint = self.endpoints.get(beat.endpoint)
         if endpoint is None or beat.incarnation < endpoint.incarnation:
@@ -213,7 +221,7 @@
         replaced = endpoint.incarnation if endpoint.incarnation >= 0 else None
         is_replaced = replaced is not None and beat.incarnation > endpoint.incarnation
         if is_replaced:
-            endpoint.is_listed_leaving = False
+            endpoint.is_listed_draining = False
         is_changed = endpoint.state is not beat.state or endpoint.zone != beat.zone
         if is_changed or is_replaced or self.is_silent(endpoint):
             for target in endpoint.targets:
@@ -223,12 +231,12 @@
         endpoint.state = beat.state
         endpoint.is_loading = beat.is_loading
         endpoint.revision = beat.revision
-        endpoint.reported = beat.running + beat.queued
-        endpoint.reported_own = endpoint.own
-        endpoint.urgent = beat.urgent
-        endpoint.urgent_reported_own = endpoint.urgent_own
+        endpoint.reported_attempts = beat.running + beat.queued
+        endpoint.own_at_heartbeat = endpoint.own_attempts
+        endpoint.reported_urgent = beat.urgent
+        endpoint.own_urgent_at_heartbeat = endpoint.own_urgent
         endpoint.slots = max(1, beat.slots)
-        endpoint.heard_s = self.clock.seconds()
+        endpoint.last_heartbeat_s = self.clock.seconds()
         if tuple(beat.targets) != endpoint.targets:
             self._index(endpoint, tuple(beat.targets))
         return replaced if is_replaced else None
@@ -254,22 +262,24 @@
         if endpoint is None:
             return
         endpoint.failures += 1
-        if endpoint.failures < self.limits.eject_after:
+        if endpoint.failures < self.limits.ejection_failures:
             return
-        wait_s = min(self.limits.eject_most_s, self.limits.eject_first_s * 2**endpoint.ejections)
-        endpoint.failures = self.limits.eject_after - 1
+        wait_s = min(
+            self.limits.max_ejection_s, self.limits.base_ejection_s * 2**endpoint.ejections
+        )
+        endpoint.failures = self.limits.ejection_failures - 1
         endpoint.ejections += 1
         endpoint.ejected_until_s = self.clock.seconds() + wait_s
         for target in endpoint.targets:
             self._pools.pop(target, None)
 
-    def is_out(self, endpoint: Endpoint) -> bool:
+    def is_excluded(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint is left out for now: its agent is silent, or it was ejected."""
         return self.is_silent(endpoint) or self.clock.seconds() < endpoint.ejected_until_s
 
     def is_silent(self, endpoint: Endpoint) -> bool:
         """Whether the endpoint's agent has not been heard lately."""
-        return self.clock.seconds() - endpoint.heard_s > self.silence_s
+        return self.clock.seconds() - endpoint.last_heartbeat_s > self.heartbeat_timeout_s
 
     def candidates(self, target: str) -> Pool:
         """Return the endpoints that may get new work for a target."""
@@ -283,10 +293,10 @@
         open_ = [
             endpoint
             for endpoint in known
-            if endpoint.state is EndpointState.READY and not endpoint.is_listed_leaving
+            if endpoint.state is EndpointState.READY and not endpoint.is_listed_draining
         ]
-        heard = [endpoint for endpoint in open_ if not self.is_out(endpoint)]
-        if len(heard) >= self.limits.floor * len(open_):
+        heard = [endpoint for endpoint in open_ if not self.is_excluded(endpoint)]
+        if len(heard) >= self.limits.min_usable_share * len(open_):
             return heard
         return open_
 
--- a/umberhitch/tasks/follower.py
+++ b/umberhitch/tasks/follower.py
@@ -9,20 +9,20 @@
 from umberhitch.errors import LogError, LogTrimmedError
 from umberhitch.ports import Clock, LogBatch, LogPort, Timer
 
-__all__ = ["Follower", "FollowerPace"]
+__all__ = ["Follower", "FollowerSettings"]
 
 log = getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class FollowerPace:
+class FollowerSettings:
     """How often a follower asks."""
 
     wait_s: float = 1.0
     """How long the service may hold a read that finds nothing new."""
-    idle_s: float = 0.05
+    poll_interval_s: float = 0.05
     retry_s: float = 0.5
-    batch: int = 500
+    max_batch: int = 500
 
 
 class Follower:
@@ -37,7 +37,7 @@
         Returns the offset to read from; asked before each read.
     deliver : callable
         Receives each batch that holds records.
-    pace : FollowerPace
+    pace : FollowerSettings
     """
 
     def __init__(
@@ -47,21 +47,21 @@
         clock: Clock,
         start: Callable[[], int],
         deliver: Callable[[LogBatch], None],
-        pace: FollowerPace | None = None,
+        pace: FollowerSettings | None = None,
     ) -> None:
         self._port = port
         self._stream = stream
         self._clock = clock
         self._start = start
         self._deliver = deliver
-        self._pace = pace or FollowerPace()
+        self._pace = pace or FollowerSettings()
         self._timer: Timer | None = None
         self._running = False
-        self.heard_s: float | None = None
+        self.last_read_s: float | None = None
         """When the service last answered."""
-        self.current_s: float | None = None
+        self.caught_up_s: float | None = None
         """When everything up to the stream's end was last known to be delivered."""
-        self.end = 0
+        self.end_offset = 0
         """The stream's end as of the last answer."""
         self.failures = 0
 
@@ -79,7 +79,9 @@
     @property
     def is_current(self) -> bool:
         """Whether everything that the last answer knew of has been delivered."""
-        return self.heard_s is not None and self.failures == 0 and self._start() >= self.end
+        return (
+            self.last_read_s is not None and self.failures == 0 and self._start() >= self.end_offset
+        )
 
     def _next(self, delay_s: float) -> None:
         if self._running:
@@ -89,7 +91,9 @@
         batch: LogBatch | None
         try:
             start = self._start()
-            batch = await self._port.read(self._stream, start, self._pace.batch, self._pace.wait_s)
+            batch = await self._port.read(
+                self._stream, start, self._pace.max_batch, self._pace.wait_s
+            )
         except LogTrimmedError as exc:
             batch = await self._read_from(exc.first_offset)
         except LogError as exc:
@@ -101,7 +105,7 @@
 
     async def _read_from(self, offset: int) -> LogBatch | None:
         try:
-            return await self._port.read(self._stream, offset, self._pace.batch, 0.0)
+            return await self._port.read(self._stream, offset, self._pace.max_batch, 0.0)
         except LogError as exc:
             self._note_failure(exc)
             return None
@@ -113,11 +117,11 @@
         self._next(self._pace.retry_s)
 
     def _accept(self, batch: LogBatch) -> None:
-        self.heard_s = self._clock.seconds()
+        self.last_read_s = self._clock.seconds()
         self.failures = 0
-        self.end = batch.end
+        self.end_offset = batch.end
         if batch.records:
             self._deliver(batch)
         if self._start() >= batch.end:
-            self.current_s = self.heard_s
-        self._next(0.0 if batch.records else self._pace.idle_s)
+            self.caught_up_s = self.last_read_s
+        self._next(0.0 if batch.records else self._pace.poll_interval_s)
--- a/umberhitch/tasks/keyed.py
+++ b/umberhitch/tasks/idempotency.py
@@ -8,29 +8,35 @@
 from umberhitch.core.claims import Claim, ClaimState, Release, Settle
 from umberhitch.core.outcome import Done, NotRun, Outcome, Reason, Unknown
 from umberhitch.ports import Clock
-from umberhitch.tasks.asks import Ask, Placement, Progress, record_answer, replay
 from umberhitch.tasks.attempts import OpenAttempt
-from umberhitch.tasks.parts import RouterParts, RunsAttempts
+from umberhitch.tasks.request_state import (
+    AttemptPlacement,
+    CallerRequest,
+    RequestProgress,
+    make_recorded_answer,
+    replay_answer,
+)
+from umberhitch.tasks.router_parts import AttemptRunner, RouterParts
 from umberhitch.wire import AttemptId
 
-__all__ = ["KeyedRequests"]
+__all__ = ["IdempotencyKeyRequests"]
 
-CLAIM_WAIT_S = 2.0
+CLAIM_TIMEOUT_S = 2.0
 """How long a keyed request waits for the log before it is refused."""
-KEY_POLL_S = 0.5
-LOOK_AGAIN_S = 2.0
+KEY_POLL_INTERVAL_S = 0.5
+FETCH_TIMEOUT_S = 2.0
 MAX_RECORDED_CHARS = 16_384
 """Longer answers are not kept in the log; a later caller gets them while the agent has them."""
 LOG_RETRY_AFTER_S = 2.0
 
 
-class KeyedRequests:
+class IdempotencyKeyRequests:
     """Serves the requests of one router that carry an idempotency key.
 
     Parameters
     ----------
     router : RouterParts
-    requests : RunsAttempts
+    requests : AttemptRunner
         Places and runs the attempts.
     clock : Clock
     wall_s : callable
@@ -39,7 +45,7 @@
     def __init__(
         self,
         router: RouterParts,
-        requests: RunsAttempts,
+        requests: AttemptRunner,
         clock: Clock,
         wall_s: Callable[[], float],
     ) -> None:
@@ -48,11 +54,11 @@
         self._clock = clock
         self._wall_s = wall_s
 
-    async def serve(self, progress: Progress) -> Outcome:
+    async def serve(self, progress: RequestProgress) -> Outcome:
         """See a request with an idempotency key through."""
         claims = self._router.claims
         while True:
-            state = claims.holder(progress.ask.key)
+            state = claims.holder(progress.request.idempotency_key)
             if state is not None:
                 outcome = await self._follow_key(progress, state)
             elif claims.follower.failures:
@@ -61,69 +67,71 @@
                 outcome = await self._claim_and_run(progress)
             if outcome is not None:
                 return outcome
-            if self._clock.seconds() >= progress.due_s:
+            if self._clock.seconds() >= progress.deadline_s:
                 return NotRun(Reason.KEY_IN_USE, "the first request is still running", 1.0)
 
-    async def _claim_and_run(self, progress: Progress) -> Outcome | None:
+    async def _claim_and_run(self, progress: RequestProgress) -> Outcome | None:
         """Claim the key and run; None if the state of the key must be looked at again."""
         while True:
-            placement = self._requests.place(progress)
+            placement = self._requests.place_attempt(progress)
             if isinstance(placement, NotRun):
-                return progress.refused or placement
+                return progress.last_refusal or placement
             state = await self._claim(progress, placement)
             if state is None:
                 return _log_down("the idempotency key could not be recorded")
             if state.claim.attempt != placement.attempt:
                 return None
-            outcome = await self._requests.attempt(progress, placement)
+            outcome = await self._requests.run_attempt(progress, placement)
             is_safe = isinstance(outcome, NotRun)
             if not (is_safe and self._requests.may_retry(progress, outcome)):
-                self._record(progress.ask, placement.attempt, outcome)
+                self._record(progress.request, placement.attempt, outcome)
                 return outcome
-            progress.avoid.add(placement.endpoint.name)
+            progress.excluded.add(placement.endpoint.name)
 
-    async def _claim(self, progress: Progress, placement: Placement) -> ClaimState | None:
-        ask = progress.ask
+    async def _claim(
+        self, progress: RequestProgress, placement: AttemptPlacement
+    ) -> ClaimState | None:
+        ask = progress.request
         claim = Claim(
-            ask.key,
-            ask.request,
+            ask.idempotency_key,
+            ask.request_id,
             placement.attempt,
             placement.endpoint.name,
             placement.agent_incarnation,
             ask.fingerprint,
             self._wall_s(),
         )
-        left_s = progress.due_s - self._clock.seconds()
-        return await self._router.claims.claim(claim, min(CLAIM_WAIT_S, left_s))
+        left_s = progress.deadline_s - self._clock.seconds()
+        return await self._router.claims.claim(claim, min(CLAIM_TIMEOUT_S, left_s))
 
-    def _record(self, ask: Ask, attempt: AttemptId, outcome: Outcome) -> None:
+    def _record(self, ask: CallerRequest, attempt: AttemptId, outcome: Outcome) -> None:
         claims = self._router.claims
         match outcome:
             case Done():
-                self._record_done(ask.key, ask.request, attempt, outcome)
+                self._record_done(ask.idempotency_key, ask.request_id, attempt, outcome)
             case NotRun():
-                claims.release(Release(ask.key, ask.request, attempt))
+                claims.release(Release(ask.idempotency_key, ask.request_id, attempt))
             case Unknown(reason=reason):
-                claims.settle(Settle(ask.key, ask.request, attempt, None, reason))
+                claims.settle(Settle(ask.idempotency_key, ask.request_id, attempt, None, reason))
 
-    async def _follow_key(self, progress: Progress, state: ClaimState) -> Outcome | None:
+    async def _follow_key(self, progress: RequestProgress, state: ClaimState) -> Outcome | None:
         """Answer from what another request with the same key did or does."""
         claim = state.claim
-        if claim.fingerprint != progress.ask.fingerprint:
+        if claim.fingerprint != progress.request.fingerprint:
             return NotRun(Reason.KEY_REUSED, "the key was used for another request")
         settled = state.settled
         if settled is not None:
             if settled.answer is None:
                 return await self._look_again(progress, claim, Reason(settled.reason))
-            return replay(settled.answer)
+            return replay_answer(settled.answer)
         owner = claim.attempt
         if self._router.peers.is_alive(owner.router, owner.incarnation):
-            left_s = progress.due_s - self._clock.seconds()
-            await self._router.claims.wait_for_news(claim.key, min(KEY_POLL_S, left_s))
+            left_s = progress.deadline_s - self._clock.seconds()
+            await self._router.claims.wait_for_update(claim.key, min(KEY_POLL_INTERVAL_S, left_s))
             return None
         return await self._settle_for(progress, claim)
 
-    async def _look_again(self, progress: Progress, claim: Claim, reason: Reason) -> Outcome:
+    async def _look_again(self, progress: RequestProgress, claim: Claim, reason: Reason) -> Outcome:
         """Answer for a key whose answer is not in the log: it was unknown then, or too long.
 
         The agent may still have it.
@@ -132,41 +140,41 @@
         unknown = Unknown(reason, "the first request's outcome is unknown")
         if endpoint is None or endpoint.incarnation != claim.agent_incarnation:
             return unknown
-        left_s = progress.due_s - self._clock.seconds()
+        left_s = progress.deadline_s - self._clock.seconds()
         watch = self._router.attempts.fetch(
-            claim.attempt, endpoint, progress.ask.customer.name, min(LOOK_AGAIN_S, left_s)
+            claim.attempt, endpoint, progress.request.customer.name, min(FETCH_TIMEOUT_S, left_s)
         )
         outcome = await self._router.attempts.outcome_of(watch)
         if not isinstance(outcome, Done):
             return unknown
         self._record_done(claim.key, claim.request, claim.attempt, outcome)
-        return replay(record_answer(outcome))
+        return replay_answer(make_recorded_answer(outcome))
 
     def _record_done(self, key: str, request: str, attempt: AttemptId, done: Done) -> None:
         """Record an answer, or only that there was one if it is too long for the log."""
         if len(done.text) <= MAX_RECORDED_CHARS:
-            settle = Settle(key, request, attempt, record_answer(done))
+            settle = Settle(key, request, attempt, make_recorded_answer(done))
         else:
             settle = Settle(key, request, attempt, None, Reason.EVICTED)
         self._router.claims.settle(settle)
 
-    async def _settle_for(self, progress: Progress, claim: Claim) -> Outcome | None:
+    async def _settle_for(self, progress: RequestProgress, claim: Claim) -> Outcome | None:
         """Find out, for a lost router, what became of the attempt that it claimed."""
         endpoint = self._router.fleet.get(claim.endpoint)
         if endpoint is None:
             return Unknown(Reason.AGENT_LOST, "the first request's agent is gone")
-        watch: OpenAttempt = self._router.attempts.settle_foreign(
-            claim.attempt, endpoint, claim.agent_incarnation, progress.ask.customer.name
+        watch: OpenAttempt = self._router.attempts.settle_orphaned(
+            claim.attempt, endpoint, claim.agent_incarnation, progress.request.customer.name
         )
         outcome = await self._router.attempts.outcome_of(watch)
         claims = self._router.claims
         match outcome:
             case Done():
                 self._record_done(claim.key, claim.request, claim.attempt, outcome)
-                return replay(record_answer(outcome))
+                return replay_answer(make_recorded_answer(outcome))
             case NotRun():
                 claims.release(Release(claim.key, claim.request, claim.attempt))
-                await claims.wait_for_news(claim.key, CLAIM_WAIT_S)
+                await claims.wait_for_update(claim.key, CLAIM_TIMEOUT_S)
                 return None
             case Unknown(reason=Reason.NO_ANSWER | Reason.DEADLINE):
                 return outcome
--- a/umberhitch/tasks/leases.py
+++ b/umberhitch/tasks/leases.py
@@ -16,28 +16,28 @@
 from umberhitch.errors import LogError
 from umberhitch.ports import Clock, LogBatch, LogPort
 from umberhitch.tasks.appender import Appender
-from umberhitch.tasks.follower import Follower, FollowerPace
+from umberhitch.tasks.follower import Follower, FollowerSettings
 
-__all__ = ["LEASES_STREAM", "LeaseKeeper", "candidates_for"]
+__all__ = ["LEASES_STREAM", "LeaseManager", "lease_candidates"]
 
 LEASES_STREAM = "leases"
-TTL_S = 15.0
-RENEW_EVERY_S = 5.0
-MARGIN_S = 2.0
+LEASE_TTL_S = 15.0
+RENEW_INTERVAL_S = 5.0
+EXPIRY_MARGIN_S = 2.0
 """How long past its end a lease is left alone, for clocks that differ in rate and slow reads."""
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 
 
-def candidates_for(name: str, routers: list[str]) -> list[str]:
+def lease_candidates(name: str, routers: list[str]) -> list[str]:
     """Return the routers that may take a lease, by rendezvous hash, so that few append for it."""
 
     def weight(router: str) -> int:
         return xxh3_64_intdigest(f"{name}\0{router}".encode())
 
-    return sorted(routers, key=weight, reverse=True)[:CANDIDATES]
+    return sorted(routers, key=weight, reverse=True)[:MAX_CANDIDATES]
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Owns one router's hold on one lease.
 
     Parameters
@@ -51,7 +51,7 @@
     rng : Random
     routers : callable
         Returns the names of the live routers, this one included.
-    pace : FollowerPace
+    pace : FollowerSettings
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         clock: Clock,
         rng: Random,
         routers: Callable[[], list[str]],
-        pace: FollowerPace | None = None,
+        pace: FollowerSettings | None = None,
     ) -> None:
         self._name = name
         self._router = router
@@ -119,32 +119,34 @@
             if self.fold.apply(offset, data) == self._name:
                 self._seen_s = self._clock.seconds()
 
-    def tick(self, is_leaving: bool) -> None:
+    def tick(self, is_draining: bool) -> None:
         """Renew the lease, take it if it is free, or give it up; called once a second."""
         if self._is_appending:
             return
         lease = self.fold.leases.get(self._name)
         is_own = lease is not None and self._is_own(lease.holder, lease.incarnation)
         if lease is not None and is_own and not lease.is_yielded:
-            if is_leaving:
+            if is_draining:
                 self._append(Yield(self._name, lease.token), lease.token, 0.0)
-            elif self._clock.seconds() >= self._valid_until_s - TTL_S + RENEW_EVERY_S:
-                renewal = Renew(self._name, lease.token, self._router, self._incarnation, TTL_S)
-                self._append(renewal, lease.token, TTL_S)
-        elif not is_leaving and self._may_take():
+            elif self._clock.seconds() >= self._valid_until_s - LEASE_TTL_S + RENEW_INTERVAL_S:
+                renewal = Renew(
+                    self._name, lease.token, self._router, self._incarnation, LEASE_TTL_S
+                )
+                self._append(renewal, lease.token, LEASE_TTL_S)
+        elif not is_draining and self._may_take():
             previous = lease.token if lease is not None else NO_TOKEN
-            record = Acquire(self._name, self._router, self._incarnation, previous, TTL_S)
-            self._append(record, None, TTL_S)
+            record = Acquire(self._name, self._router, self._incarnation, previous, LEASE_TTL_S)
+            self._append(record, None, LEASE_TTL_S)
 
     def _may_take(self) -> bool:
         if not self.follower.is_current:
             return False
-        if self._router not in candidates_for(self._name, self._routers()):
+        if self._router not in lease_candidates(self._name, self._routers()):
             return False
         lease = self.fold.leases.get(self._name)
         if lease is None or lease.is_yielded:
             return True
-        return self._clock.seconds() - self._seen_s > lease.ttl_s + MARGIN_S
+        return self._clock.seconds() - self._seen_s > lease.ttl_s + EXPIRY_MARGIN_S
 
     def _append(self, record: Acquire | Renew | Yield, token: int | None, ttl_s: float) -> None:
         """Append; what is won lasts from the moment before the append, not from its answer."""
--- a/umberhitch/tasks/loading.py
+++ b/umberhitch/tasks/loading.py
@@ -6,10 +6,10 @@
 from umberhitch.ports import BackendPort, Clock
 from umberhitch.wire import LoadOrder, LoadOrderReply
 
-__all__ = ["Loading"]
+__all__ = ["TargetLoader"]
 
 
-class Loading:
+class TargetLoader:
     """Owns what an endpoint serves, and the order that is changing it.
 
     Parameters
@@ -42,11 +42,11 @@
         self._has_begun = False
 
     @property
-    def is_under_way(self) -> bool:
+    def is_loading(self) -> bool:
         """Whether a version is about to be loaded, or is being loaded."""
         return self._order is not None
 
-    def take(self, order: LoadOrder) -> LoadOrderReply:
+    def accept_order(self, order: LoadOrder) -> LoadOrderReply:
         """Accept an order, unless its sender's lease has passed on; see `begin_if_idle`."""
         if not self.fence.admits(order.token, self._clock.seconds()):
             return LoadOrderReply(order.order_id, False, "old fencing token")
@@ -56,7 +56,7 @@
             self._on_change()
         return LoadOrderReply(order.order_id, True)
 
-    def begin_if_idle(self, running: int) -> None:
+    def start_if_idle(self, running: int) -> None:
         """Have the engine load, once nothing runs on what it serves."""
         order = self._order
         if order is None or self._has_begun or running:
--- a/umberhitch/tasks/peers.py
+++ b/umberhitch/tasks/peers.py
@@ -8,7 +8,7 @@
 
 __all__ = ["Peers", "PeersLimits"]
 
-ROUNDS_TO_SILENCE = 3
+MAX_MISSED_ROUNDS = 3
 """Rounds in which every peer should have been heard once, before one counts as silent."""
 
 
@@ -24,8 +24,8 @@
         At least; it grows with the number of peers, since each tells only a few.
     """
 
-    per_round: int = 3
-    silence_s: float = 10.0
+    gossip_fanout: int = 3
+    min_digest_timeout_s: float = 10.0
 
 
 @dataclass(slots=True)
@@ -80,9 +80,9 @@
 
     def sample(self) -> list[str]:
         """Return a few random peers, for what is to travel by gossip."""
-        return self._rng.sample(self.names, min(self._limits.per_round, len(self.names)))
+        return self._rng.sample(self.names, min(self._limits.gossip_fanout, len(self.names)))
 
-    def hear(self, sender: str, digest: RouterDigest) -> bool:
+    def handle_digest(self, sender: str, digest: RouterDigest) -> bool:
         """Take a digest; returns whether it is not from a replaced incarnation."""
         known = self._heard.get(sender)
         if known is not None and digest.incarnation < known.digest.incarnation:
@@ -91,14 +91,14 @@
         return True
 
     @property
-    def silence_s(self) -> float:
+    def digest_timeout_s(self) -> float:
         """How long a peer may be silent before it is taken for lost."""
-        rounds = ROUNDS_TO_SILENCE * len(self.names) / self._limits.per_round
-        return max(self._limits.silence_s, rounds)
+        rounds = MAX_MISSED_ROUNDS * len(self.names) / self._limits.gossip_fanout
+        return max(self._limits.min_digest_timeout_s, rounds)
 
-    def live(self) -> list[RouterDigest]:
+    def live_digests(self) -> list[RouterDigest]:
         """Return the digests of the peers that were heard lately."""
-        horizon_s = self._clock.seconds() - self.silence_s
+        horizon_s = self._clock.seconds() - self.digest_timeout_s
         return [peer.digest for peer in self._heard.values() if peer.heard_s >= horizon_s]
 
     def is_alive(self, name: str, incarnation: int) -> bool:
@@ -106,7 +106,8 @@
         if name == self._router:
             return incarnation == self._incarnation
         return any(
-            digest.router == name and digest.incarnation == incarnation for digest in self.live()
+            digest.router == name and digest.incarnation == incarnation
+            for digest in self.live_digests()
         )
 
     def config_ages_s(self, revision: int) -> list[float]:
--- a/umberhitch/tasks/asks.py
+++ b/umberhitch/tasks/request_state.py
@@ -12,19 +12,19 @@
 from umberhitch.wire import AttemptId, EngineWork, ServiceWork
 
 __all__ = [
-    "Ask",
+    "AttemptPlacement",
     "AttemptTrace",
-    "Placement",
-    "Progress",
+    "CallerRequest",
+    "RequestProgress",
     "RequestTrace",
-    "describe",
-    "record_answer",
-    "replay",
+    "format_outcome",
+    "make_recorded_answer",
+    "replay_answer",
 ]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ask:
+class CallerRequest:
     """A request, as the core sees it.
 
     Attributes
@@ -37,16 +37,16 @@
         Whether it may run more than once.
     """
 
-    request: str
+    request_id: str
     customer: Customer
     klass: RequestClass
     spec: str
     work: EngineWork | ServiceWork
-    deadline_s: float
+    timeout_s: float
     is_repeatable: bool
     session: Session | None = None
     session_token: str = ""
-    key: str = ""
+    idempotency_key: str = ""
     fingerprint: str = ""
     is_streamed: bool = False
     """Whether the caller sees the answer while it grows, so that it cannot be begun again."""
@@ -84,26 +84,26 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class RequestProgress:
     """The state of one request while it is being served."""
 
-    ask: Ask
-    due_s: float
+    request: CallerRequest
+    deadline_s: float
     sink: TextSink
     trace: RequestTrace
     on_placed: Callable[[str], None]
-    avoid: set[str] = field(default_factory=set)
+    excluded: set[str] = field(default_factory=set)
     agents: list[str] = field(default_factory=list)
-    attempts: int = 0
-    is_shown: bool = False
-    unknown: Unknown | None = None
+    attempt_count: int = 0
+    has_streamed_text: bool = False
+    last_unknown: Unknown | None = None
     """Of an earlier attempt, which may have run."""
-    refused: NotRun | None = None
+    last_refusal: NotRun | None = None
     """Of an earlier attempt; it tells the caller more than that no endpoint is left."""
 
 
 @dataclass(slots=True)
-class Placement:
+class AttemptPlacement:
     """Where an attempt is to run."""
 
     target: str
@@ -112,7 +112,7 @@
     agent_incarnation: int
 
 
-def describe(outcome: Outcome) -> str:
+def format_outcome(outcome: Outcome) -> str:
     """Return an outcome in one word or two."""
     match outcome:
         case Done():
@@ -123,7 +123,7 @@
             return f"unknown: {reason.value}"
 
 
-def record_answer(done: Done) -> RecordedAnswer:
+def make_recorded_answer(done: Done) -> RecordedAnswer:
     """Return an outcome as it is kept for later callers with the same key."""
     return RecordedAnswer(
         done.text,
@@ -136,7 +136,7 @@
     )
 
 
-def replay(answer: RecordedAnswer) -> Done:
+def replay_answer(answer: RecordedAnswer) -> Done:
     """Return a kept answer as an outcome."""
     return Done(
         answer.text,
--- a/umberhitch/tasks/requests.py
+++ b/umberhitch/tasks/requests.py
@@ -12,13 +12,20 @@
 from umberhitch.core.outcome import Done, NotRun, Outcome, Reason, Unknown
 from umberhitch.core.selection import choose_endpoint, choose_version, permitted_versions
 from umberhitch.ports import Clock
-from umberhitch.tasks.asks import Ask, AttemptTrace, Placement, Progress, RequestTrace, describe
 from umberhitch.tasks.attempts import TextSink
 from umberhitch.tasks.burn import BurnTask
 from umberhitch.tasks.evidence import EvidenceTask
-from umberhitch.tasks.keyed import KeyedRequests
-from umberhitch.tasks.parts import RouterParts
+from umberhitch.tasks.idempotency import IdempotencyKeyRequests
+from umberhitch.tasks.request_state import (
+    AttemptPlacement,
+    AttemptTrace,
+    CallerRequest,
+    RequestProgress,
+    RequestTrace,
+    format_outcome,
+)
 from umberhitch.tasks.resume import Locator, format_locator
+from umberhitch.tasks.router_parts import RouterParts
 from umberhitch.wire import URGENT_PRIORITY, Start, UsageRecord
 
 __all__ = ["Requests"]
@@ -28,9 +35,9 @@
 LOG_RETRY_AFTER_S = 2.0
 NO_ENDPOINT_RETRY_AFTER_S = 1.0
 MAX_TRACES = 2000
-RETRY_BURST = 10.0
+MAX_RETRY_TOKENS = 10.0
 
-RETRYABLE = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         Reason.LEAVING,
         Reason.OVERLOADED,
@@ -79,13 +86,13 @@
         self._burn = burn
         self._clock = clock
         self._rng = rng
-        self._keyed = KeyedRequests(router, self, clock, wall_s)
-        self._retry_tokens = RETRY_BURST
+        self._keyed = IdempotencyKeyRequests(router, self, clock, wall_s)
+        self._retry_tokens = MAX_RETRY_TOKENS
         self._idle_callbacks: list[Callable[[], None]] = []
         self._customer_by_key: dict[str, str] = {}
         self.admission = AdmissionControl()
-        self.open = 0
-        self.outcomes: dict[str, int] = {}
+        self.open_count = 0
+        self.outcome_counts: dict[str, int] = {}
         self.traces: dict[str, RequestTrace] = {}
 
     @property
@@ -93,7 +100,7 @@
         """The router's configuration."""
         return self._router.feed.config
 
-    def config_changed(self) -> None:
+    def rebuild_key_index(self) -> None:
         """Index the customers' keys anew."""
         self._customer_by_key = {
             digest: customer.name
@@ -114,7 +121,7 @@
 
     def when_idle(self, callback: Callable[[], None]) -> None:
         """Call back once no request is in progress."""
-        if not self.open:
+        if not self.open_count:
             callback()
         else:
             self._idle_callbacks.append(callback)
@@ -122,13 +129,16 @@
     # One request
 
     async def serve(
-        self, ask: Ask, sink: TextSink, on_placed: Callable[[str], None] = lambda locator: None
+        self,
+        ask: CallerRequest,
+        sink: TextSink,
+        on_placed: Callable[[str], None] = lambda locator: None,
     ) -> Outcome:
         """See a request through.
 
         Parameters
         ----------
-        ask : Ask
+        ask : CallerRequest
         sink : callable
             Gets the answer piece by piece.
         on_placed : callable
@@ -139,18 +149,24 @@
             self._count(refusal)
             return refusal
         trace = self._new_trace(ask)
-        progress = Progress(ask, self._clock.seconds() + ask.deadline_s, sink, trace, on_placed)
-        self.open += 1
-        self._retry_tokens = min(RETRY_BURST, self._retry_tokens + self.config.policy.retry_budget)
+        progress = RequestProgress(
+            ask, self._clock.seconds() + ask.timeout_s, sink, trace, on_placed
+        )
+        self.open_count += 1
+        self._retry_tokens = min(
+            MAX_RETRY_TOKENS, self._retry_tokens + self.config.policy.retry_budget
+        )
         try:
-            outcome = await (self._keyed.serve(progress) if ask.key else self._serve(progress))
+            outcome = await (
+                self._keyed.serve(progress) if ask.idempotency_key else self._serve(progress)
+            )
         finally:
             self.admission.release(ask.customer.name)
-            self.open -= 1
+            self.open_count -= 1
         self._conclude(progress, outcome)
         return outcome
 
-    def _refusal(self, ask: Ask) -> NotRun | None:
+    def _refusal(self, ask: CallerRequest) -> NotRun | None:
         router = self._router
         if not router.is_ready:
             return NotRun(Reason.LEAVING, "this router takes no requests", 0.5)
@@ -162,16 +178,16 @@
             return NotRun(Reason.LOG_DOWN, "usage cannot be recorded", LOG_RETRY_AFTER_S)
         return self.admission.admit(ask.customer.name, ask.customer.limits, self._clock.seconds())
 
-    def _new_trace(self, ask: Ask) -> RequestTrace:
+    def _new_trace(self, ask: CallerRequest) -> RequestTrace:
         trace = RequestTrace(
-            ask.request, ask.customer.name, ask.klass.name, ask.spec, self._router.feed.revision
+            ask.request_id, ask.customer.name, ask.klass.name, ask.spec, self._router.feed.revision
         )
-        self.traces[ask.request] = trace
+        self.traces[ask.request_id] = trace
         while len(self.traces) > MAX_TRACES:
             self.traces.pop(next(iter(self.traces)))
         return trace
 
-    def _conclude(self, progress: Progress, outcome: Outcome) -> None:
+    def _conclude(self, progress: RequestProgress, outcome: Outcome) -> None:
         trace = progress.trace
         match outcome:
             case Done(replayed=replayed):
@@ -183,8 +199,8 @@
             case Unknown(reason=reason):
                 trace.outcome, trace.reason = "unknown", reason.value
         self._count(outcome)
-        elapsed_s = self._clock.seconds() - (progress.due_s - progress.ask.deadline_s)
-        self._burn.ended(trace.customer, trace.klass, outcome, elapsed_s)
+        elapsed_s = self._clock.seconds() - (progress.deadline_s - progress.request.timeout_s)
+        self._burn.note_request_finished(trace.customer, trace.klass, outcome, elapsed_s)
         log.info(
             "request ended",
             extra={
@@ -196,7 +212,7 @@
                 "revision": trace.revision,
             },
         )
-        if not self.open:
+        if not self.open_count:
             callbacks, self._idle_callbacks = self._idle_callbacks, []
             for callback in callbacks:
                 callback()
@@ -209,56 +225,56 @@
                 name = f"not_run:{reason}"
             case Unknown(reason=reason):
                 name = f"unknown:{reason}"
-        self.outcomes[name] = self.outcomes.get(name, 0) + 1
+        self.outcome_counts[name] = self.outcome_counts.get(name, 0) + 1
 
-    def _bill(self, progress: Progress, done: Done) -> None:
-        ask = progress.ask
+    def _bill(self, progress: RequestProgress, done: Done) -> None:
+        ask = progress.request
         cost = cost_micros(self.config.versions.get(done.target), done.usage)
         progress.trace.cost_micros = cost
         record = UsageRecord(
-            ask.request,
+            ask.request_id,
             ask.customer.name,
             done.target,
             done.usage,
             cost,
-            progress.attempts,
+            progress.attempt_count,
             ask.klass.name,
         )
         self._router.bills.write(record, progress.agents)
 
     # Attempts
 
-    async def _serve(self, progress: Progress) -> Outcome:
+    async def _serve(self, progress: RequestProgress) -> Outcome:
         while True:
-            placement = self.place(progress)
+            placement = self.place_attempt(progress)
             if isinstance(placement, NotRun):
-                return self._truthful(progress, progress.refused or placement)
-            outcome = await self.attempt(progress, placement)
+                return self._truthful(progress, progress.last_refusal or placement)
+            outcome = await self.run_attempt(progress, placement)
             if not self.may_retry(progress, outcome):
                 return self._truthful(progress, outcome)
-            progress.avoid.add(placement.endpoint.name)
+            progress.excluded.add(placement.endpoint.name)
 
-    def _truthful(self, progress: Progress, outcome: Outcome) -> Outcome:
+    def _truthful(self, progress: RequestProgress, outcome: Outcome) -> Outcome:
         """Return an outcome that covers every attempt: one that may have run is not "not run"."""
-        if isinstance(outcome, NotRun) and progress.unknown is not None:
-            return progress.unknown
+        if isinstance(outcome, NotRun) and progress.last_unknown is not None:
+            return progress.last_unknown
         return outcome
 
-    async def attempt(self, progress: Progress, placement: Placement) -> Outcome:
+    async def run_attempt(self, progress: RequestProgress, placement: AttemptPlacement) -> Outcome:
         """Run one attempt and return how it ended."""
-        ask = progress.ask
+        ask = progress.request
         began_s = self._clock.seconds()
-        progress.attempts += 1
+        progress.attempt_count += 1
         endpoint = placement.endpoint
         start = Start(
             placement.attempt,
             placement.agent_incarnation,
-            ask.request,
+            ask.request_id,
             ask.customer.name,
             placement.target,
             ask.work,
             ask.klass.priority,
-            max(0.0, progress.due_s - self._clock.seconds()),
+            max(0.0, progress.deadline_s - self._clock.seconds()),
             self._router.feed.revision,
             ask.session_token,
             ask.klass.name,
@@ -266,7 +282,7 @@
         trace = AttemptTrace(str(placement.attempt), placement.target, endpoint.name)
         progress.trace.attempts.append(trace)
         progress.trace.locator = format_locator(
-            Locator(ask.request, endpoint.name, placement.agent_incarnation, placement.attempt)
+            Locator(ask.request_id, endpoint.name, placement.agent_incarnation, placement.attempt)
         )
         progress.on_placed(progress.trace.locator)
         if endpoint.name not in progress.agents:
@@ -275,8 +291,8 @@
             start, endpoint.name, ask.is_repeatable, self._text_sink(progress)
         )
         outcome = await self._router.attempts.outcome_of(watch)
-        trace.outcome = describe(outcome)
-        self._evidence.ended(
+        trace.outcome = format_outcome(outcome)
+        self._evidence.note_attempt_finished(
             placement.target,
             ask.klass.name,
             outcome,
@@ -288,25 +304,25 @@
             case Done():
                 fleet.note_success(endpoint.name)
             case Unknown(reason=reason):
-                progress.unknown = outcome
+                progress.last_unknown = outcome
                 if reason in ENDPOINT_FAULTS:
                     fleet.note_failure(endpoint.name)
             case NotRun(reason=reason):
-                progress.refused = outcome
+                progress.last_refusal = outcome
                 if reason in ENDPOINT_FAULTS:
                     fleet.note_failure(endpoint.name)
         return outcome
 
-    def _text_sink(self, progress: Progress) -> TextSink:
+    def _text_sink(self, progress: RequestProgress) -> TextSink:
         def take(text: str) -> None:
-            progress.is_shown = progress.ask.is_streamed
+            progress.has_streamed_text = progress.request.is_streamed
             progress.sink(text)
 
         return take
 
-    def place(self, progress: Progress) -> Placement | NotRun:
+    def place_attempt(self, progress: RequestProgress) -> AttemptPlacement | NotRun:
         """Choose version and endpoint for the next attempt, or say why there is none."""
-        ask = progress.ask
+        ask = progress.request
         target = self._choose_target(progress)
         if isinstance(target, NotRun):
             return target
@@ -316,7 +332,7 @@
             pool.endpoints,
             near,
             self._rng,
-            progress.avoid,
+            progress.excluded,
             ask.klass.priority <= URGENT_PRIORITY,
         )
         if endpoint is None:
@@ -324,10 +340,10 @@
                 Reason.NO_ENDPOINT, f'no endpoint for "{ask.spec}"', NO_ENDPOINT_RETRY_AFTER_S
             )
         attempt = self._router.attempts.next_id()
-        return Placement(target, endpoint, attempt, endpoint.incarnation)
+        return AttemptPlacement(target, endpoint, attempt, endpoint.incarnation)
 
-    def _choose_target(self, progress: Progress) -> str | NotRun:
-        ask = progress.ask
+    def _choose_target(self, progress: RequestProgress) -> str | NotRun:
+        ask = progress.request
         if ask.is_service:
             if ask.spec not in ask.customer.services:
                 return NotRun(Reason.NOT_PERMITTED, f'no service "{ask.spec}" for this customer')
@@ -335,13 +351,13 @@
         versions = permitted_versions(self.config, ask.customer.name, ask.spec, ask.session)
         if isinstance(versions, NotRun):
             return versions
-        stops, fold = self._router.stops, self._router.feed.fold
+        stops, fold = self._router.withdrawals, self._router.feed.fold
         versions = [ver for ver in versions if not stops.is_withdrawn(ver.key, fold)]
         if not versions:
             return NotRun(Reason.WITHDRAWN, f'no version of "{ask.spec}" takes new work')
 
         def has_endpoint(target: str) -> bool:
-            return self._router.fleet.candidates(target).has_other_than(progress.avoid)
+            return self._router.fleet.candidates(target).has_other_than(progress.excluded)
 
         ver = choose_version(versions, ask.klass, has_endpoint, self._rng)
         if ver is None:
@@ -350,18 +366,18 @@
             )
         return ver.key
 
-    def may_retry(self, progress: Progress, outcome: Outcome) -> bool:
+    def may_retry(self, progress: RequestProgress, outcome: Outcome) -> bool:
         """Whether another attempt may follow; if so, the retry budget has paid for it."""
         match outcome:
-            case NotRun(reason=reason) if reason in RETRYABLE:
+            case NotRun(reason=reason) if reason in RETRYABLE_REASONS:
                 pass
-            case Unknown() if progress.ask.is_repeatable and not progress.is_shown:
+            case Unknown() if progress.request.is_repeatable and not progress.has_streamed_text:
                 pass
             case _:
                 return False
-        if progress.attempts >= self.config.policy.max_attempts:
+        if progress.attempt_count >= self.config.policy.max_attempts:
             return False
-        if self._clock.seconds() >= progress.due_s or self._retry_tokens < 1.0:
+        if self._clock.seconds() >= progress.deadline_s or self._retry_tokens < 1.0:
             return False
         self._retry_tokens -= 1.0
         return True
--- a/umberhitch/tasks/resume.py
+++ b/umberhitch/tasks/resume.py
@@ -7,9 +7,9 @@
 from umberhitch.tasks.fleet import Fleet
 from umberhitch.wire import AttemptId
 
-__all__ = ["Locator", "Resume", "format_locator", "parse_locator"]
+__all__ = ["AnswerFetcher", "Locator", "format_locator", "parse_locator"]
 
-FETCH_WAIT_S = 30.0
+FETCH_TIMEOUT_S = 30.0
 SEPARATOR = "~"
 
 
@@ -17,7 +17,7 @@
 class Locator:
     """Where an answer is: which attempt, at which incarnation of which endpoint's agent."""
 
-    request: str
+    request_id: str
     endpoint: str
     agent_incarnation: int
     attempt: AttemptId
@@ -27,7 +27,7 @@
     """Return a locator as text."""
     attempt = locator.attempt
     parts = (
-        locator.request,
+        locator.request_id,
         locator.endpoint,
         locator.agent_incarnation,
         attempt.router,
@@ -50,7 +50,7 @@
     return Locator(request, endpoint, int(agent_incarnation), attempt)
 
 
-class Resume:
+class AnswerFetcher:
     """Fetches answers from the agents that hold them.
 
     Parameters
@@ -68,7 +68,7 @@
         endpoint = self._fleet.get(locator.endpoint)
         if endpoint is None or endpoint.incarnation != locator.agent_incarnation:
             return Unknown(Reason.AGENT_LOST, "the agent that held the answer is gone")
-        watch = self._attempts.fetch(locator.attempt, endpoint, customer, FETCH_WAIT_S)
+        watch = self._attempts.fetch(locator.attempt, endpoint, customer, FETCH_TIMEOUT_S)
         if watch.customer != customer:
             return NotRun(Reason.NOT_PERMITTED, "the answer belongs to another customer")
         outcome = await self._attempts.outcome_of(watch)
--- a/umberhitch/tasks/rollouts.py
+++ b/umberhitch/tasks/rollouts.py
@@ -32,8 +32,8 @@
 from umberhitch.errors import UmberhitchError
 from umberhitch.ports import Clock
 from umberhitch.tasks.evidence import EvidenceTask
-from umberhitch.tasks.leases import LeaseKeeper
-from umberhitch.tasks.parts import RouterParts
+from umberhitch.tasks.leases import LeaseManager
+from umberhitch.tasks.router_parts import RouterParts
 from umberhitch.wire import LoadOrder, LoadOrderReply
 
 __all__ = ["ROLLOUT_LEASE", "RolloutDriver", "RolloutError"]
@@ -55,7 +55,7 @@
     ----------
     router : RouterParts
     evidence : EvidenceTask
-    lease : LeaseKeeper
+    lease : LeaseManager
     clock : Clock
     wall_s : callable
     """
@@ -64,7 +64,7 @@
         self,
         router: RouterParts,
         evidence: EvidenceTask,
-        lease: LeaseKeeper,
+        lease: LeaseManager,
         clock: Clock,
         wall_s: Callable[[], float],
     ) -> None:
@@ -103,7 +103,7 @@
         if action == "roll back" and old is not None and is_restorable(old):
             ops.append(self._put_version(restored_version(old)))
         change = Change(f"rollout-{version}-{action}-{seen}", "operator", ops)
-        return self._router.change(change)
+        return self._router.submit_change(change)
 
     def _new_plan(self, version: str, previous: str | None) -> Rollout:
         config = self._router.feed.config
@@ -185,7 +185,7 @@
                 endpoint.name in self._orders or endpoint.is_loading,
             )
             for endpoint in fleet.endpoints.values()
-            if not fleet.is_out(endpoint)
+            if not fleet.is_excluded(endpoint)
         )
         return RolloutView(
             rows,
@@ -222,7 +222,7 @@
             },
         )
         author = f"router {self._router.settings.name}"
-        submitted = self._router.change(Change(change_id, author, ops))
+        submitted = self._router.submit_change(Change(change_id, author, ops))
         submitted.addErrback(lambda failure: None)
 
     def _order(self, endpoint: str, target: str, token: int) -> None:
@@ -242,7 +242,7 @@
                 self._orders[endpoint] = (order, now)
                 self._router.send(endpoint, order)
 
-    def handle(self, reply: LoadOrderReply) -> None:
+    def handle_reply(self, reply: LoadOrderReply) -> None:
         """Take an agent's answer to an order."""
         if reply.is_accepted:
             return
--- a/umberhitch/tasks/router.py
+++ b/umberhitch/tasks/router.py
@@ -16,19 +16,19 @@
 from umberhitch.ports import Clock, Host, HostListPort, HostRole, LinkPort, LogPort
 from umberhitch.ports.rating import RatingPort
 from umberhitch.tasks.appender import AppenderLimits
-from umberhitch.tasks.attempts import AttemptPace, Attempts
-from umberhitch.tasks.bills import BillWriter
-from umberhitch.tasks.burn import BurnHost, BurnTask
+from umberhitch.tasks.attempts import Attempts, AttemptTiming
+from umberhitch.tasks.burn import BurnContext, BurnTask
 from umberhitch.tasks.claims import Claims
 from umberhitch.tasks.config_feed import ConfigFeed
 from umberhitch.tasks.evidence import EvidenceTask
 from umberhitch.tasks.fleet import Endpoint, Fleet, FleetLimits
-from umberhitch.tasks.follower import FollowerPace
-from umberhitch.tasks.leases import LeaseKeeper
+from umberhitch.tasks.follower import FollowerSettings
+from umberhitch.tasks.leases import LeaseManager
 from umberhitch.tasks.peers import Peers, PeersLimits
 from umberhitch.tasks.requests import Requests
-from umberhitch.tasks.resume import Resume
+from umberhitch.tasks.resume import AnswerFetcher
 from umberhitch.tasks.rollouts import ROLLOUT_LEASE, RolloutDriver
+from umberhitch.tasks.usage_writer import UsageWriter
 from umberhitch.wire import (
     AttemptAccepted,
     BurnReply,
@@ -50,21 +50,21 @@
     Withdrawal,
 )
 
-__all__ = ["Router", "RouterSettings", "RouterState", "stopped_versions"]
+__all__ = ["Router", "RouterSettings", "RouterState", "withdrawn_versions"]
 
 log = getLogger(__name__)
 
 
-FEED_GRACE_S = 2.0
+PUBLISH_GRACE_S = 2.0
 """How long another router is given to feed an agent, before this one does it too."""
-BEATS_PER_S = 50.0
+MAX_HEARTBEATS_PER_S = 50.0
 """Heartbeats that a router hears in a second before it asks agents to slow down."""
 BILLING_APPENDS_PER_S = 100.0
 CLAIM_APPENDS_PER_S = 150.0
 """Appends that all routers together may make; the platform's log takes several hundred a second."""
 
 
-def stopped_versions(change: Change) -> list[str]:
+def withdrawn_versions(change: Change) -> list[str]:
     """Return the versions to which a change gives no work any more, sessions included."""
     stopping = (VersionState.WITHDRAWN, VersionState.QUARANTINED)
     return [op.version for op in change.ops if isinstance(op, SetState) and op.state in stopping]
@@ -75,7 +75,7 @@
 
     STARTING = "starting"
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -85,16 +85,16 @@
     name: str
     incarnation: int
     zone: str
-    hello_s: float = 1.0
-    hosts_s: float = 2.0
+    hello_interval_s: float = 1.0
+    host_list_interval_s: float = 2.0
     peers: PeersLimits = PeersLimits()
-    pace: AttemptPace = AttemptPace()
-    follow: FollowerPace = FollowerPace()
+    attempt_timing: AttemptTiming = AttemptTiming()
+    follower: FollowerSettings = FollowerSettings()
     fleet: FleetLimits = FleetLimits()
     billing: AppenderLimits = AppenderLimits()
     subsets: SubsetLimits = SubsetLimits()
     evidence: EvidenceLimits = EvidenceLimits()
-    evidence_s: float = 1.0
+    evidence_interval_s: float = 1.0
     rating_sample: float = 1.0
     """Share of answers that are sent to the rating service."""
 
@@ -138,19 +138,19 @@
         self._is_stopped = False
         self.peers = Peers(settings.name, settings.incarnation, clock, rng, link, settings.peers)
         self._drained: Deferred[None] | None = None
-        self.stops = DirectWithdrawals()
+        self.withdrawals = DirectWithdrawals()
         self._subsets = AgentSubset(settings.name, settings.subsets)
         self.fleet = Fleet(clock, settings.fleet)
         self.attempts = Attempts(
-            settings.name, settings.incarnation, clock, link, self.fleet, settings.pace
+            settings.name, settings.incarnation, clock, link, self.fleet, settings.attempt_timing
         )
-        self.feed = ConfigFeed(log_port, clock, rng, self._on_config, settings.follow)
-        self.bills = BillWriter(log_port, clock, rng, link, settings.billing)
-        self.claims = Claims(log_port, clock, rng, settings.follow)
+        self.feed = ConfigFeed(log_port, clock, rng, self._on_config, settings.follower)
+        self.bills = UsageWriter(log_port, clock, rng, link, settings.billing)
+        self.claims = Claims(log_port, clock, rng, settings.follower)
         self.evidence = EvidenceTask(
             self, clock, rng, ratings, settings.rating_sample, settings.evidence
         )
-        self.lease = LeaseKeeper(
+        self.lease = LeaseManager(
             ROLLOUT_LEASE,
             settings.name,
             settings.incarnation,
@@ -158,13 +158,13 @@
             clock,
             rng,
             lambda: [settings.name, *self.live_peers()],
-            settings.follow,
+            settings.follower,
         )
         self.rollouts = RolloutDriver(self, self.evidence, self.lease, clock, wall_s)
-        burn_host = BurnHost(settings.name, self.live_peers, self.send, self._objectives)
+        burn_host = BurnContext(settings.name, self.live_peers, self.send, self._objectives)
         self.burn = BurnTask(burn_host, clock, wall_s)
         self.requests = Requests(self, self.evidence, self.burn, clock, wall_s, rng)
-        self.resume = Resume(self.attempts, self.fleet)
+        self.answer_fetcher = AnswerFetcher(self.attempts, self.fleet)
 
     # Life cycle
 
@@ -176,9 +176,9 @@
         self.claims.start()
         self.lease.start()
         self._every(1.0, self._drive)
-        self._every(self.settings.hosts_s, self._refresh_hosts)
-        self._every(self.settings.hello_s, self._greet)
-        self._every(self.settings.evidence_s, self.evidence.pass_on)
+        self._every(self.settings.host_list_interval_s, self._refresh_hosts)
+        self._every(self.settings.hello_interval_s, self._greet)
+        self._every(self.settings.evidence_interval_s, self.evidence.send_evidence)
 
     def stop(self) -> None:
         """Do nothing more, as a lost process would."""
@@ -190,7 +190,7 @@
 
     def drain(self) -> Deferred[None]:
         """Take no new request; the result comes when all are answered and billed."""
-        self.state = RouterState.LEAVING
+        self.state = RouterState.DRAINING
         if self._drained is None:
             self._drained = Deferred()
             self.requests.when_idle(lambda: self.bills.when_idle(self._finish_drain))
@@ -214,7 +214,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the router has a configuration and is not leaving."""
-        return self.state is not RouterState.LEAVING and self.feed.is_ready
+        return self.state is not RouterState.DRAINING and self.feed.is_ready
 
     # Hosts and peers
 
@@ -227,9 +227,9 @@
     async def _read_hosts(self) -> None:
         hosts = await self._host_list.hosts()
         if not self._is_stopped:
-            self.take_hosts(hosts)
+            self.apply_host_list(hosts)
 
-    def take_hosts(self, hosts: list[Host]) -> None:
+    def apply_host_list(self, hosts: list[Host]) -> None:
         """Take the platform's list of hosts."""
         zones = {host.name: host.zone for host in hosts if host.role is HostRole.ROUTER}
         self._subsets.set_routers({**zones, self.settings.name: self.settings.zone})
@@ -237,23 +237,23 @@
             host for host in hosts if host.role is HostRole.AGENT and self._subsets.serves(host)
         ]
         served = {host.name for host in agents}
-        self.fleet.release(
+        self.fleet.forget_endpoints(
             host.name for host in hosts if host.role is HostRole.AGENT and host.name not in served
         )
         moved = self.fleet.update_hosts(agents)
         for host in agents:
-            self.fleet.endpoints[host.name].is_fed = self._subsets.publishes_to(host)
+            self.fleet.endpoints[host.name].is_config_pushed = self._subsets.publishes_to(host)
         for endpoint in moved:
             self._link.connect(endpoint.name, endpoint.address)
             self._link.send(endpoint.name, self._hello())
         self.peers.update_hosts({host.name: host for host in hosts if host.role is HostRole.ROUTER})
         count = 1 + len(self.peers.names)
         self.requests.admission.routers = count
-        self.bills.appender.share_service(count, BILLING_APPENDS_PER_S)
-        self.claims.appender.share_service(count, CLAIM_APPENDS_PER_S)
+        self.bills.appender.limit_append_rate(count, BILLING_APPENDS_PER_S)
+        self.claims.appender.limit_append_rate(count, CLAIM_APPENDS_PER_S)
 
     def _drive(self) -> None:
-        self.lease.tick(self.state is RouterState.LEAVING)
+        self.lease.tick(self.state is RouterState.DRAINING)
         self.rollouts.tick()
 
     def _hello(self) -> Hello:
@@ -263,26 +263,26 @@
 
     def _beat_s(self) -> float:
         """Return how often agents are to be heard, so that many do not cost too much."""
-        return max(self.settings.hello_s, len(self.fleet.endpoints) / BEATS_PER_S)
+        return max(self.settings.hello_interval_s, len(self.fleet.endpoints) / MAX_HEARTBEATS_PER_S)
 
     def _greet(self) -> None:
-        self.fleet.sweep()
+        self.fleet.refresh_pools()
         self._greet_agents()
-        digest = self.digest()
+        digest = self.make_digest()
         for name in self.peers.sample():
             self._link.send(name, digest)
 
     def _greet_agents(self) -> None:
         """Greet the agents, all within the pace at which they are to be heard."""
         hello = self._hello()
-        self.fleet.set_pace(hello.heartbeat_interval_s)
+        self.fleet.set_heartbeat_interval(hello.heartbeat_interval_s)
         names = list(self.fleet.endpoints)
-        count = ceil(len(names) * self.settings.hello_s / hello.heartbeat_interval_s)
+        count = ceil(len(names) * self.settings.hello_interval_s / hello.heartbeat_interval_s)
         for index in range(min(count, len(names))):
             self._link.send(names[(self._next_greeted + index) % len(names)], hello)
         self._next_greeted += count
 
-    def digest(self) -> RouterDigest:
+    def make_digest(self) -> RouterDigest:
         """Return what other routers are told of this one."""
         cfg = self.settings
         return RouterDigest(
@@ -301,8 +301,8 @@
         that it has heard and does not lag behind.
         """
         ages = self.peers.config_ages_s(self.revision)
-        if self.feed.current_s is not None:
-            ages.append(self._clock.seconds() - self.feed.current_s)
+        if self.feed.caught_up_s is not None:
+            ages.append(self._clock.seconds() - self.feed.caught_up_s)
         return min(ages, default=-1.0)
 
     @property
@@ -314,13 +314,13 @@
 
     def _on_config(self) -> None:
         """Feed agents as soon as the revision has grown."""
-        self.requests.config_changed()
+        self.requests.rebuild_key_index()
         self.claims.fold.ttl_s = self.feed.config.policy.idempotency_ttl_s
         if self.state is RouterState.STARTING:
             self.state = RouterState.READY
         self._changed_s = self._clock.seconds()
         for endpoint in self.fleet.endpoints.values():
-            if endpoint.incarnation >= 0 and endpoint.is_fed:
+            if endpoint.incarnation >= 0 and endpoint.is_config_pushed:
                 self._feed(endpoint, max(endpoint.revision, endpoint.sent_revision))
 
     def _feed(self, endpoint: Endpoint, revision: int) -> None:
@@ -342,13 +342,13 @@
 
     def live_peers(self) -> list[str]:
         """Return the names of the routers that were heard lately."""
-        return [digest.router for digest in self.peers.live()]
+        return [digest.router for digest in self.peers.live_digests()]
 
     def send(self, peer: str, message: Message) -> None:
         """Send a message to another router, or to an agent."""
         self._link.send(peer, message)
 
-    def withdraw_directly(self, message: Withdrawal) -> None:
+    def withdraw_version(self, message: Withdrawal) -> None:
         """Stop a version here, and tell every agent and peer, ahead of the log."""
         self._stop_version(message, self.peers.names)
 
@@ -357,15 +357,15 @@
         self._stop_version(message, self.peers.sample())
 
     def _stop_version(self, message: Withdrawal, peers: list[str]) -> None:
-        if not self.stops.add(message, self.feed.fold):
+        if not self.withdrawals.add(message, self.feed.fold):
             return
         for name in (*self.fleet.endpoints, *peers):
             self._link.send(name, message)
 
-    def change(self, change: Change) -> Deferred[Verdict]:
+    def submit_change(self, change: Change) -> Deferred[Verdict]:
         """Submit a change of configuration; what it stops is stopped before the log has it."""
-        for version in stopped_versions(change):
-            self.withdraw_directly(Withdrawal(version, change.change_id))
+        for version in withdrawn_versions(change):
+            self.withdraw_version(Withdrawal(version, change.change_id))
         return self.feed.submit(change)
 
     # Messages
@@ -391,36 +391,36 @@
             case RouterDigest():
                 self._on_digest(sender, message)
             case ConfigRecords(previous=previous, records=records):
-                if not self.feed.take_records(previous, records):
+                if not self.feed.apply_peer_records(previous, records):
                     self._link.send(sender, ConfigRequest(self.feed.revision))
             case ConfigSnapshot(data=data):
-                self.feed.take_snapshot(data)
+                self.feed.apply_peer_snapshot(data)
             case Withdrawal():
                 self._pass_on_withdrawal(message)
             case LoadOrderReply():
-                self.rollouts.handle(message)
+                self.rollouts.handle_reply(message)
             case BurnRequest():
-                self.burn.answer(sender, message)
+                self.burn.handle_request(sender, message)
             case BurnReply():
-                self.burn.take(sender, message)
+                self.burn.handle_reply(sender, message)
             case Evidence():
-                self.evidence.take(message)
+                self.evidence.handle_evidence(message)
             case _:
                 log.warning("unexpected message", extra={"message_type": type(message).__name__})
 
     def _on_beat(self, beat: Heartbeat) -> None:
-        replaced = self.fleet.hear(beat)
+        replaced = self.fleet.handle_heartbeat(beat)
         if replaced is not None:
-            self.attempts.agent_replaced(beat.endpoint, beat.incarnation)
+            self.attempts.handle_agent_replaced(beat.endpoint, beat.incarnation)
         endpoint = self.fleet.get(beat.endpoint)
         if endpoint is None or endpoint.incarnation != beat.incarnation:
             return
-        is_settled = self._clock.seconds() - self._changed_s >= FEED_GRACE_S
-        if beat.revision < self.feed.revision and (endpoint.is_fed or is_settled):
+        is_settled = self._clock.seconds() - self._changed_s >= PUBLISH_GRACE_S
+        if beat.revision < self.feed.revision and (endpoint.is_config_pushed or is_settled):
             self._feed(endpoint, beat.revision)
 
     def _on_digest(self, sender: str, digest: RouterDigest) -> None:
-        if not self.peers.hear(sender, digest):
+        if not self.peers.handle_digest(sender, digest):
             return
         if digest.revision < self.feed.revision:
             self._send_update(sender, digest.revision)
--- a/umberhitch/tasks/parts.py
+++ b/umberhitch/tasks/router_parts.py
@@ -7,17 +7,17 @@
 from umberhitch.config import Change, Verdict
 from umberhitch.core.outcome import NotRun, Outcome
 from umberhitch.core.withdrawals import DirectWithdrawals
-from umberhitch.tasks.asks import Placement, Progress
 from umberhitch.tasks.attempts import Attempts
-from umberhitch.tasks.bills import BillWriter
 from umberhitch.tasks.claims import Claims
 from umberhitch.tasks.config_feed import ConfigFeed
 from umberhitch.tasks.fleet import Fleet
-from umberhitch.tasks.leases import LeaseKeeper
+from umberhitch.tasks.leases import LeaseManager
 from umberhitch.tasks.peers import Peers
+from umberhitch.tasks.request_state import AttemptPlacement, RequestProgress
+from umberhitch.tasks.usage_writer import UsageWriter
 from umberhitch.wire import Message
 
-__all__ = ["RouterIdentity", "RouterParts", "RunsAttempts"]
+__all__ = ["AttemptRunner", "RouterIdentity", "RouterParts"]
 
 
 class RouterIdentity(Protocol):
@@ -40,11 +40,11 @@
     feed: ConfigFeed
     fleet: Fleet
     attempts: Attempts
-    bills: BillWriter
+    bills: UsageWriter
     claims: Claims
-    lease: LeaseKeeper
+    lease: LeaseManager
     peers: Peers
-    stops: DirectWithdrawals
+    withdrawals: DirectWithdrawals
 
     @property
     def settings(self) -> RouterIdentity:
@@ -69,22 +69,22 @@
         """Send a message to another router, or to an agent."""
         ...
 
-    def change(self, change: Change) -> Deferred[Verdict]:
+    def submit_change(self, change: Change) -> Deferred[Verdict]:
         """Submit a change of configuration."""
         ...
 
 
-class RunsAttempts(Protocol):
+class AttemptRunner(Protocol):
     """Places and runs single attempts of a request."""
 
-    def place(self, progress: Progress) -> Placement | NotRun:
+    def place_attempt(self, progress: RequestProgress) -> AttemptPlacement | NotRun:
         """Return where the next attempt goes, or why it cannot."""
         ...
 
-    async def attempt(self, progress: Progress, placement: Placement) -> Outcome:
+    async def run_attempt(self, progress: RequestProgress, placement: AttemptPlacement) -> Outcome:
         """Run one attempt to its outcome."""
         ...
 
-    def may_retry(self, progress: Progress, outcome: Outcome) -> bool:
+    def may_retry(self, progress: RequestProgress, outcome: Outcome) -> bool:
         """Whether another attempt may be made after an outcome."""
         ...
--- a/umberhitch/tasks/tests/test_fleet.py
+++ b/umberhitch/tasks/tests/test_fleet.py
@@ -18,7 +18,7 @@
     fleet = Fleet(clock)
     fleet.update_hosts(Host(f"e{index}", HostRole.AGENT, "a", "-") for index in range(count))
     for index in range(count):
-        fleet.hear(make_beat(f"e{index}"))
+        fleet.handle_heartbeat(make_beat(f"e{index}"))
     return clock, fleet
 
 
@@ -33,12 +33,12 @@
     assert names(fleet) == ["e1", "e2"]
     clock.advance(2.1)
     for index in range(3):
-        fleet.hear(make_beat(f"e{index}"))
-    fleet.sweep()
+        fleet.handle_heartbeat(make_beat(f"e{index}"))
+    fleet.refresh_pools()
     assert "e0" in names(fleet)
     fleet.note_failure("e0")
     clock.advance(2.1)
-    fleet.sweep()
+    fleet.refresh_pools()
     assert "e0" not in names(fleet)
 
 
@@ -60,22 +60,24 @@
 
 def test_an_older_incarnation_is_not_believed() -> None:
     _, fleet = make_fleet(1)
-    assert fleet.hear(make_beat("e0", incarnation=5)) == 1
-    assert fleet.hear(make_beat("e0", incarnation=4, state=EndpointState.DRAINING)) is None
+    assert fleet.handle_heartbeat(make_beat("e0", incarnation=5)) == 1
+    assert (
+        fleet.handle_heartbeat(make_beat("e0", incarnation=4, state=EndpointState.DRAINING)) is None
+    )
     assert names(fleet) == ["e0"]
 
 
 def test_load_counts_what_was_sent_since_the_last_report() -> None:
     _, fleet = make_fleet(1)
     endpoint = fleet.endpoints["e0"]
-    endpoint.own = 2
-    fleet.hear(Heartbeat("e0", 1, "a", ["m@1"], EndpointState.READY, 0, 5, 1, 8))
-    endpoint.own = 6
+    endpoint.own_attempts = 2
+    fleet.handle_heartbeat(Heartbeat("e0", 1, "a", ["m@1"], EndpointState.READY, 0, 5, 1, 8))
+    endpoint.own_attempts = 6
     assert endpoint.load() == (6 + 6 - 2) / 8
 
 
 def test_an_endpoint_that_another_router_serves_is_released_when_it_is_idle() -> None:
     _, fleet = make_fleet(2)
-    fleet.endpoints["e0"].own = 1
-    fleet.release(["e0", "e1"])
+    fleet.endpoints["e0"].own_attempts = 1
+    fleet.forget_endpoints(["e0", "e1"])
     assert names(fleet) == ["e0"]
--- a/umberhitch/tasks/tests/test_peers.py
+++ b/umberhitch/tasks/tests/test_peers.py
@@ -24,7 +24,7 @@
 
 def test_a_peer_that_falls_silent_is_lost() -> None:
     clock, peers = make_peers(3)
-    peers.hear("r1", digest("r1"))
+    peers.handle_digest("r1", digest("r1"))
     assert peers.is_alive("r1", 1)
     assert not peers.is_alive("r1", 2)
     clock.advance(10.5)
@@ -35,21 +35,21 @@
 def test_many_peers_are_heard_less_often_and_given_longer() -> None:
     """Each tells three others a second, so that one of many is heard rarely."""
     clock, peers = make_peers(370)
-    peers.hear("r1", digest("r1"))
+    peers.handle_digest("r1", digest("r1"))
     clock.advance(200.0)
     assert peers.is_alive("r1", 1)
 
 
 def test_a_replaced_incarnation_is_not_heard_again() -> None:
     _, peers = make_peers(3)
-    assert peers.hear("r1", digest("r1", incarnation=5))
-    assert not peers.hear("r1", digest("r1", incarnation=4))
+    assert peers.handle_digest("r1", digest("r1", incarnation=5))
+    assert not peers.handle_digest("r1", digest("r1", incarnation=4))
 
 
 def test_a_configuration_is_as_old_as_a_peer_says_and_the_time_since() -> None:
     clock, peers = make_peers(3)
-    peers.hear("r1", digest("r1", revision=3, age_s=0.5))
-    peers.hear("r2", digest("r2", revision=9, age_s=0.1))
+    peers.handle_digest("r1", digest("r1", revision=3, age_s=0.5))
+    peers.handle_digest("r2", digest("r2", revision=9, age_s=0.1))
     clock.advance(2.0)
     assert peers.config_ages_s(revision=3) == [2.5]
     assert len(peers.config_ages_s(revision=9)) == 2
--- a/umberhitch/tasks/tests/test_serving.py
+++ b/umberhitch/tasks/tests/test_serving.py
@@ -6,7 +6,7 @@
 from umberhitch.config import VersionState
 from umberhitch.core.outcome import Done, NotRun, Reason, Unknown
 from umberhitch.fakes import NetworkFaults, expected_answer
-from umberhitch.tasks import keyed as keyed_module
+from umberhitch.tasks import idempotency as keyed_module
 from umberhitch.tasks.resume import parse_locator
 from umberhitch.testing import (
     SIGNING_SECRET,
@@ -90,8 +90,8 @@
     locator = record.locators[-1]
     where = parse_locator(locator)
     assert where is not None
-    fetched = ensureDeferred(world.routers["r2"].resume.fetch(where, "acme", 0))
-    stolen = ensureDeferred(world.routers["r2"].resume.fetch(where, "other", 0))
+    fetched = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(where, "acme", 0))
+    stolen = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(where, "other", 0))
     world.advance(3.0)
     assert fetched.result.text == expected_answer("m@1", make_work("long answer"), 12)
     assert isinstance(stolen.result, NotRun)
--- a/umberhitch/tasks/usage.py
+++ b/umberhitch/tasks/usage.py
@@ -5,9 +5,9 @@
 
 from umberhitch.wire import UsageRecord
 
-__all__ = ["UsageHold"]
+__all__ = ["UnconfirmedUsage"]
 
-MAX_OFFERED = 500
+MAX_OVERDUE_RECORDS = 500
 
 
 @dataclass(slots=True)
@@ -16,7 +16,7 @@
     since_s: float
 
 
-class UsageHold:
+class UnconfirmedUsage:
     """Owns the unconfirmed usage records of one agent."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
     def __contains__(self, request: str) -> bool:
         return request in self._held
 
-    def hold(self, record: UsageRecord, now_s: float) -> None:
+    def add(self, record: UsageRecord, now_s: float) -> None:
         """Keep a record until it is confirmed."""
         self._held[record.request] = _Held(record, now_s)
 
@@ -41,7 +41,7 @@
     def overdue(self, now_s: float, patience_s: float) -> list[UsageRecord]:
         """Return records that have waited longer than their router should have needed."""
         due = [held.record for held in self._held.values() if now_s - held.since_s >= patience_s]
-        return due[:MAX_OFFERED]
+        return due[:MAX_OVERDUE_RECORDS]
 
     def next_router(self, routers: Iterable[str]) -> str | None:
         """Return the router to offer overdue records to: another one at each turn."""
--- a/umberhitch/tasks/bills.py
+++ b/umberhitch/tasks/usage_writer.py
@@ -10,13 +10,13 @@
 from umberhitch.tasks.appender import Appender, AppenderLimits
 from umberhitch.wire import UsageConfirmation, UsageRecord
 
-__all__ = ["BILLING_STREAM", "BillWriter"]
+__all__ = ["BILLING_STREAM", "UsageWriter"]
 
 BILLING_STREAM = "billing"
-REMEMBERED_REQUESTS = 50_000
+MAX_REMEMBERED_REQUESTS = 50_000
 
 
-class BillWriter:
+class UsageWriter:
     """Owns the usage records of one router until they are in the log.
 
     Parameters
@@ -52,7 +52,7 @@
         """Whether no further record would be taken; new work must be refused first."""
         return self.appender.is_full
 
-    def holds(self, request: str) -> bool:
+    def is_pending(self, request: str) -> bool:
         """Whether the record of a request waits here to be in the log."""
         return request in self._waiting
 
@@ -77,7 +77,7 @@
 
     def _on_written(self, request: str) -> None:
         self._written[request] = None
-        while len(self._written) > REMEMBERED_REQUESTS:
+        while len(self._written) > MAX_REMEMBERED_REQUESTS:
             self._written.popitem(last=False)
         self._tell([request], sorted(self._waiting.pop(request, ())))
         if not self._waiting:
--- a/umberhitch/testing/_direct.py
+++ b/umberhitch/testing/_direct.py
@@ -204,7 +204,7 @@
         trials.start()
         peers.start()
         holds_port = FakeHolds(self.held, faults)
-        holds = StoredHolds(clock, holds_port, gateway.crashes.sharing, peers.rank)
+        holds = StoredHolds(clock, holds_port, gateway.crash_guard.sharing, peers.rank)
         holds.start()
         router = DirectRouter(
             gateway,
--- a/umberhitch/testing/_world.py
+++ b/umberhitch/testing/_world.py
@@ -32,10 +32,10 @@
 from umberhitch.fakes._engine import EngineRun
 from umberhitch.ports import Host, HostRole
 from umberhitch.tasks.agent import Agent, AgentSettings
-from umberhitch.tasks.asks import Ask
-from umberhitch.tasks.bills import BILLING_STREAM
 from umberhitch.tasks.config_feed import CONFIG_STREAM
+from umberhitch.tasks.request_state import CallerRequest
 from umberhitch.tasks.router import Router, RouterSettings
+from umberhitch.tasks.usage_writer import BILLING_STREAM
 from umberhitch.testing._violation import Violation
 from umberhitch.wire import EngineWork, ServiceWork
 
@@ -312,17 +312,17 @@
         )
         self.records.append(record)
         session = self._session(node, opts)
-        ask = Ask(
-            request=record.request,
+        ask = CallerRequest(
+            request_id=record.request,
             customer=config.customers[opts.customer],
             klass=klass,
             spec=opts.spec,
             work=work,
-            deadline_s=opts.deadline_s or klass.deadline_s,
+            timeout_s=opts.deadline_s or klass.deadline_s,
             is_repeatable=klass.repeatable,
             session=session,
             session_token=opts.session_token,
-            key=f"{opts.customer}/{opts.key}" if opts.key else "",
+            idempotency_key=f"{opts.customer}/{opts.key}" if opts.key else "",
             fingerprint=question,
             is_streamed=opts.is_streamed,
         )
@@ -389,9 +389,9 @@
                 self._unbilled_losses.add(record.request)
 
     def _is_usage_held(self, record: CallerRecord) -> bool:
-        return any(router.bills.holds(record.request) for router in self.routers.values()) or any(
-            agent.holds_usage(record.request) for agent in self.agents.values()
-        )
+        return any(
+            router.bills.is_pending(record.request) for router in self.routers.values()
+        ) or any(agent.holds_usage(record.request) for agent in self.agents.values())
 
     def lose_agent(self, name: str) -> None:
         """Stop an agent at once; its engine goes on until the host is replaced."""
--- a/umberhitch/testing/fuzz/_machine.py
+++ b/umberhitch/testing/fuzz/_machine.py
@@ -116,7 +116,7 @@
             return
         seen = node.feed.fold.revisions.get(f"versions/{version}", 0) if is_guarded else None
         change = Change(f"chg-{self._next()}", router, [SetState(version, state, if_revision=seen)])
-        node.change(change).addErrback(lambda failure: None)
+        node.submit_change(change).addErrback(lambda failure: None)
 
     @rule(action=st.sampled_from(["start", "hold", "go on", "roll back"]), router=router_names)
     def roll_out(self, action: str, router: str) -> None:
