--- a/umberhitch/platform/__init__.py
+++ b/umberhitch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: its store, its documents, its headers. It decides nothing."""
+"""Adapter to the users' platform: its store, documents and headers. It makes no decisions."""
 
 from umberhitch.core.direct import EndpointEntry
 from umberhitch.platform._client import StoreClient
@@ -20,15 +20,15 @@
 ]
 
 CONFIGURATIONS = LargeRecords(CONFIG_KEY, skip_after_bytes=32 * 1024)
-"""Of several configurations only the newest is read: a series of 12, 0.33 s apart and 0.8 MB each,
-is in force 1.6 s after its last over 5 Mbit/s; 11.6 s where each is read (virtual clock)."""
+"""Only the newest of several configurations is read: over 5 Mbit/s, the last of 12 that are 0.33 s
+apart, 0.8 MB each, is in force after 1.6 s; after 11.6 s if each is read (virtual clock)."""
 
 
 def make_operator_feed(store: StoreClient) -> KeyedFeed[OperatorValue]:
-    """Return the feed of what operators write."""
+    """Return the feed of the records that operators write."""
     return KeyedFeed(store, OPERATOR_TOPIC, decode_operator, CONFIGURATIONS)
 
 
 def make_endpoint_feed(store: StoreClient) -> KeyedFeed[EndpointEntry]:
-    """Return the feed of the endpoints' entries."""
+    """Return the feed of the endpoints' registry entries."""
     return KeyedFeed(store, ENDPOINT_TOPIC, decode_endpoint, invalid_deletes=True)
--- a/umberhitch/platform/_client.py
+++ b/umberhitch/platform/_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""HTTP client of the platform's store."""
 
 from typing import Any
 from urllib.parse import urlencode
@@ -15,11 +15,11 @@
 
 Query = dict[str, Any]
 CALL_TIMEOUT_S = 1.0
-"""A call that takes longer has failed; the store answers within some ms, slow within some 100."""
+"""Seconds until a call fails; the store answers within a few ms, or some 100 ms when slow."""
 
 
 class StoreClient:
-    """Calls the store.
+    """Makes calls to the store.
 
     Parameters
     ----------
@@ -44,14 +44,14 @@
         timeout_s: float = CALL_TIMEOUT_S,
         is_wanted: IsWanted | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and body of an answer, which has to begin within ``timeout_s``.
+        """Return status and body of a response, which must start within ``timeout_s``.
 
         Raises
         ------
         LogUnavailableError
-            The store refused the call, or could not be reached; it did nothing.
+            The store refused the call or could not be reached; the call had no effect.
         LogAnswerLostError
-            No answer came, or not the whole; the call may take effect, also later.
+            The response is missing or incomplete; the call may take effect, even later.
         """
         self.calls += 1
         target = f"{path}?{urlencode(query)}" if query else path
@@ -72,7 +72,7 @@
                 raise LogAnswerLostError(str(exc)) from exc
             raise LogUnavailableError(str(exc)) from exc
         if head.status in (429, 503):
-            raise LogUnavailableError(f"the store answered {head.status}")
+            raise LogUnavailableError(f"the store returned status {head.status}")
         return head.status, data
 
     async def read(
@@ -82,14 +82,9 @@
         timeout_s: float = CALL_TIMEOUT_S,
         is_wanted: IsWanted | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and body of an answer to a call that changes nothing.
+        """Return status and body of the response to a call that changes nothing.
 
-        Raises
-        ------
-        LogUnavailableError
-            No answer came.
-        LogBrokenOffError
-            The answer was not completed.
+        Raises `LogUnavailableError` without a response, `LogBrokenOffError` if it is incomplete.
         """
         try:
             return await self.call("GET", path, query, b"", timeout_s, is_wanted)
@@ -99,16 +94,16 @@
             raise LogUnavailableError(str(exc)) from exc
 
     async def post_json(self, path: str, body: dict[str, Any]) -> Any:
-        """Post JSON and return the answer's; raises as `call`."""
+        """Post JSON and return the response's JSON; raises the errors of `call`."""
         status, data = await self.call("POST", path, {}, json.encode(body))
         return decode_response(status, data)
 
 
 def decode_response(status: int, data: bytes) -> Any:
-    """Return an answer's JSON; raises `LogUnavailableError` where there is none."""
+    """Return a response's JSON; raises `LogUnavailableError` if it has none."""
     if status != 200:
-        raise LogUnavailableError(f"the store answered {status}")
+        raise LogUnavailableError(f"the store returned status {status}")
     try:
         return json.decode(data)
     except DecodeError as exc:
-        raise LogUnavailableError(f"the store's answer is not JSON: {exc}") from exc
+        raise LogUnavailableError(f"the store's response is not JSON: {exc}") from exc
--- a/umberhitch/platform/_documents.py
+++ b/umberhitch/platform/_documents.py
@@ -1,8 +1,8 @@
-"""The documents in the platform's store, and the product's types for them.
+"""Conversion of the documents in the platform's store to the router's types.
 
-Names that mislead: a ``tenant`` is a customer, a ``server`` or replica an endpoint, and an
-endpoint's ``id`` names one incarnation of it. A replica may start again under its ``id``; its entry
-then has another ``born``, and means another lifetime.
+Some of the platform's names differ from the router's: a ``tenant`` is a customer, a ``server`` or
+replica is an endpoint, and an endpoint's ``id`` names one incarnation. A replica may restart under
+the same ``id``; its entry then has another ``born`` and stands for another lifetime.
 """
 
 import re
@@ -33,12 +33,12 @@
 CONFIG_KEY = "config"
 MAX_SLOTS = 1_000_000
 MAX_BORN_MS = 2**53
-"""Larger ones are no times: a JSON number is exact up to there, and peers can be told it."""
+"""Larger values are invalid: JSON numbers are exact, and can be sent to peers, up to this one."""
 ENDPOINT_KEY = re.compile(r"[!-~]{1,255}", re.ASCII)
-"""It is sent in a header."""
+"""The key is sent in a header, so it has only printable ASCII without spaces."""
 ROLLOUT_PREFIX = "rollout/"
 ZONE_PREFIX = "evacuate/"
-MAX_COLD_MS = 3_600_000.0  # an hour: covers any start
+MAX_COLD_MS = 3_600_000.0  # one hour, longer than any cold start
 ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
@@ -108,7 +108,7 @@
     tenants: list[_Tenant] = []
 
 
-class _Order(Struct, rename="camel"):
+class _RolloutOrder(Struct, rename="camel"):
     service: str
     target: str
     duration_s: float
@@ -134,25 +134,22 @@
 
 
 _config = json.Decoder(_Config)
-_order = json.Decoder(_Order)
+_rollout_order = json.Decoder(_RolloutOrder)
 _entry = json.Decoder(_Entry)
 
 
 def decode_operator(key: str, value: bytes) -> OperatorValue | None:
-    """Return what an operator's record says, or None for a key that is not known.
+    """Return the decoded record of an operator, or None if its key is unknown.
 
-    That a zone's record is there says all; what is in it may be anything.
+    A zone is out of service while its record exists; the content of the record is ignored.
 
-    Raises
-    ------
-    ConfigError
-        If it does not validate; the message has the place.
+    Raises `ConfigError`, which names the position in the record, if it does not validate.
     """
     try:
         if key == CONFIG_KEY:
-            return _document(_config.decode(value))
+            return _make_document(_config.decode(value))
         if key.startswith(ROLLOUT_PREFIX):
-            order = _order.decode(value)
+            order = _rollout_order.decode(value)
             return RolloutOrder(order.service, order.target, order.duration_s)
         if key.startswith(ZONE_PREFIX):
             return ZoneOut(key.removeprefix(ZONE_PREFIX))
@@ -161,23 +158,23 @@
     return None
 
 
-def _document(raw: _Config) -> Document:
+def _make_document(raw: _Config) -> Document:
     limits = raw.limits
-    waits_s = (limits.header_timeout_ms / 1000, limits.idle_timeout_ms / 1000)
+    timeouts_s = (limits.header_timeout_ms / 1000, limits.idle_timeout_ms / 1000)
     return Document(
         raw.version,
-        tuple(map(_route, raw.routes)),
-        {each.name: _service(each) for each in raw.services},
+        tuple(map(_make_route, raw.routes)),
+        {each.name: _make_service(each) for each in raw.services},
         {
             key_digest(key): Customer(tenant.name, tenant.priority)
             for tenant in raw.tenants
             for key in tenant.api_keys
         },
-        IntakeLimits(limits.max_header_bytes, limits.max_body_bytes, *waits_s),
+        IntakeLimits(limits.max_header_bytes, limits.max_body_bytes, *timeouts_s),
     )
 
 
-def _route(raw: _Route) -> Route:
+def _make_route(raw: _Route) -> Route:
     services = tuple((split.service, split.weight) for split in raw.traffic_split)
     return Route(
         raw.name,
@@ -196,7 +193,7 @@
     )
 
 
-def _service(raw: _Service) -> Service:
+def _make_service(raw: _Service) -> Service:
     engine = raw.engine or _Engine()
     prices = {model.name: model.cost for model in engine.models}
     sizes = (raw.max_connections, engine.slots, engine.kv_capacity_tokens)
@@ -206,26 +203,26 @@
 def decode_endpoint(key: str, value: bytes) -> EndpointEntry | None:
     """Return an endpoint's entry; raises `ConfigError` if it does not validate.
 
-    It may be another writer's, so nothing is taken for granted.
+    Any client of the store may have written the entry, so all of it is validated.
     """
     if not ENDPOINT_KEY.fullmatch(key):
-        raise ConfigError([f"{key[:80]!r}: not the key of an endpoint"])
+        raise ConfigError([f"{key[:80]!r}: not a valid key of an endpoint"])
     try:
         raw = _entry.decode(value)
         if not split_address(raw.address)[1]:
             raise ValueError("no port - at `$.address`")
-    except (ValueError, RecursionError) as exc:  # msgspec's errors are of these
+    except (ValueError, RecursionError) as exc:  # msgspec's errors are subclasses of these
         raise ConfigError([f"{key}: {exc}"]) from exc
-    said = (raw.service, raw.address, raw.zone, raw.version, raw.slots, EndpointState(raw.state))
+    fields = (raw.service, raw.address, raw.zone, raw.version, raw.slots, EndpointState(raw.state))
     cold_ms = raw.cold_remaining_ms
     cold_s = None if cold_ms is None else min(max(0.0, cold_ms), MAX_COLD_MS) / 1000
-    return EndpointEntry(key, *said, raw.born, cold_s)
+    return EndpointEntry(key, *fields, raw.born, cold_s)
 
 
 def decode_status(key: str, value: bytes) -> tuple[str, str, RolloutState] | None:
-    """Return service, target and state of a roll-out, or None for another record.
+    """Return service, target and state of a roll-out, or None for any other record.
 
-    Raises `ConfigError` if it does not validate.
+    Raises `ConfigError` if the record does not validate.
     """
     if not key.startswith(ROLLOUT_PREFIX):
         return None
@@ -237,5 +234,5 @@
 
 
 def encode_status(service: str, target: str, state: RolloutState) -> tuple[str, bytes]:
-    """Return key and value of a roll-out's state."""
+    """Return key and value of the record of a roll-out's state."""
     return ROLLOUT_PREFIX + service, json.encode({"target": target, "state": state.value})
--- a/umberhitch/platform/_headers.py
+++ b/umberhitch/platform/_headers.py
@@ -1,8 +1,8 @@
-"""The headers on the users' platform, and the product's types for them.
+"""Conversion of the headers on the users' platform to the router's types.
 
-All names of headers stand here and nowhere else. Some mislead: ``Response-Signature`` is what makes
-a response count, ``Attempt-Id`` is the caller's id of its own attempt (not of a router's retry),
-and ``Not-Executed`` is a promise, not a guess.
+All header names are here and nowhere else. Some are easily misread: a response counts only with a
+``Response-Signature``, ``Attempt-Id`` is the caller's id of its own attempt (not of a router's
+retry), and ``Not-Executed`` guarantees that the request did not run.
 """
 
 from collections.abc import Callable
@@ -30,18 +30,18 @@
 ANY_MODEL = b"*"
 MAX_PRIORITY = 9
 DEFAULT_DEADLINE_S = 30.0
-"""Where the caller names no deadline; the route's timeout holds besides."""
+"""Used if the caller sets no deadline; the route's timeout applies as well."""
 NOT_RUN_STATUSES = frozenset({421})
-"""A promise by itself; the others need `Not-Executed` beside them."""
+"""These guarantee that the request did not run; other statuses need `Not-Executed`."""
 
 
 class PlatformWire:
-    """Decodes and encodes heads; decides nothing.
+    """Decodes and encodes heads without making decisions.
 
     Parameters
     ----------
     time_of_day : callable
-        Returns the seconds since 1970.
+        Returns seconds since the Unix epoch.
     """
 
     def __init__(self, time_of_day: Callable[[], float] = time) -> None:
@@ -53,7 +53,7 @@
         Raises
         ------
         BadAskError
-            If a header that the router relies on is malformed.
+            If a header that the router needs is missing or malformed.
         """
         first: dict[bytes, bytes] = {}
         for name, value in raw.headers:
@@ -72,8 +72,8 @@
             host,
             unquote(path),
             pass_on(raw.headers, first.get(b"connection", b""), DROPPED_HEADERS),
-            _key(first.get(b"authorization")),
-            _seconds(first.get(b"deadline-ms")),
+            _api_key(first.get(b"authorization")),
+            _deadline_s(first.get(b"deadline-ms")),
             picks_model=first.get(b"model") == ANY_MODEL,
             prompt=parse_prompt(first.get(b"prompt-prefix"), tokens[0] if tokens else 0),
             output_tokens=tokens[1] if len(tokens) > 1 else 0,
@@ -83,7 +83,7 @@
         )
 
     def call_headers(self, req: CallerRequest, metadata: CallMetadata) -> HeaderList:
-        """Return all headers of a call."""
+        """Return all headers of a call to an endpoint."""
         headers = req.headers
         if metadata.model is not None:
             headers = [item for item in headers if item[0].lower() != b"model"]
@@ -122,24 +122,24 @@
         )
 
     def _read_signals(self, status: int, found: dict[bytes, list[bytes]]) -> HeadSignals:
-        """Return what an endpoint says of itself."""
+        """Return the signals that an endpoint reports about itself."""
         limit = parse_rate(found.get(b"server-limit", []))
-        is_draining, is_odd = parse_flag(found.get(b"server-leaving", []))
+        is_draining, is_malformed = parse_flag(found.get(b"server-leaving", []))
         times = found.get(b"retry-after", []) if status == 503 else []
         backoff = parse_backoff(times, found.get(b"date", [b""])[0], self._time_of_day)
-        odd = {"server-limit": limit.is_malformed, "server-leaving": is_odd}
-        odd["retry-after"] = backoff.is_malformed
+        malformed = {"server-limit": limit.is_malformed, "server-leaving": is_malformed}
+        malformed["retry-after"] = backoff.is_malformed
         return HeadSignals(
             is_draining,
             backoff.seconds,
             limit,
             parse_load(found.get(b"replica-load", [None])[0]),
-            tuple(name for name, is_unclear in odd.items() if is_unclear),
+            tuple(name for name, is_malformed_value in malformed.items() if is_malformed_value),
             tuple((name, found[name][0]) for name in found.keys() - REPLY_HEADERS),
         )
 
     def refusal_headers(self, call_id: str | None, retry_after_s: float | None) -> HeaderList:
-        """Return the headers of an answer of the router's own."""
+        """Return the headers of an answer that the router gives itself."""
         headers = [(b"Content-Type", b"application/json")]
         if call_id is not None:
             headers.append((b"Attempt-Id", call_id.encode("latin-1")))
@@ -148,12 +148,12 @@
         return headers
 
 
-def _key(value: bytes | None) -> str | None:
+def _api_key(value: bytes | None) -> str | None:
     scheme, _, key = (value or b"").partition(b" ")
     return key.strip().decode("latin-1") if scheme.lower() == b"bearer" else None
 
 
-def _seconds(value: bytes | None) -> float:
+def _deadline_s(value: bytes | None) -> float:
     if value is None:
         return DEFAULT_DEADLINE_S
     if not value.isdigit():
--- a/umberhitch/platform/_store.py
+++ b/umberhitch/platform/_store.py
@@ -1,4 +1,4 @@
-"""States of roll-outs and membership of routers, in the platform's store."""
+"""Roll-out states and router membership in the platform's store."""
 
 from logging import getLogger
 
@@ -18,11 +18,11 @@
 STATUS_TOPIC = "keyed.status"
 GROUP = "umberhitch-routers"
 GROUP_TOPICS = ["umberhitch-seats-1", "umberhitch-seats-2", "umberhitch-seats-3"]
-"""Only their partitions matter: a member that holds none does not appear among the owners."""
+"""Used for their partitions only: a member without a partition is missing from the owners."""
 
 
 class Statuses:
-    """The states of roll-outs; a `StatusPort`."""
+    """The states of roll-outs; implements `StatusPort`."""
 
     def __init__(self, store: StoreClient) -> None:
         self._store = store
@@ -43,16 +43,16 @@
         return StoredStatus(states, end)
 
     async def write(self, service: str, target: str, state: RolloutState, end: int) -> bool:
-        """Write a state unless anything was written since ``end``; return whether it was done."""
+        """Write a state unless anything was written since ``end``; return whether it succeeded."""
         key, value = encode_status(service, target, state)
         return await append_record(self._store, STATUS_TOPIC, key, value, expectedOffset=end)
 
 
 class Members:
-    """Membership of routers; a `MembersPort`.
+    """Membership of routers; implements `MembersPort`.
 
-    The store gives the partitions of a topic to the members of a group; the rows of owners are the
-    list of members. A member's name in the group carries its address.
+    The store assigns the partitions of topics to the members of a group; the list of partition
+    owners gives the members. A member's label in the group includes its address.
     """
 
     def __init__(self, store: StoreClient) -> None:
@@ -60,7 +60,7 @@
         self._generation = 0
 
     async def join(self, member: Member, ttl_s: float) -> int:
-        """Join or stay; return a number that changes with the membership."""
+        """Join, or renew the membership; return a number that changes with the list of members."""
         body = {
             "group": GROUP,
             "member": _label(member),
@@ -73,13 +73,13 @@
         return self._generation
 
     async def leave(self, member: Member) -> None:
-        """Leave."""
+        """Remove a member."""
         await self._store.post_json("/-/log-leave", {"group": GROUP, "member": _label(member)})
 
     async def members(self) -> list[Member]:
         """Return all members."""
         status, data = await self._store.read("/-/log-owners", {"group": GROUP})
-        # The pages do not name the list of rows; it is the only list in the answer.
+        # The platform's documentation does not name this list; it is the response's only one.
         rows = next((v for v in decode_response(status, data).values() if isinstance(v, list)), [])
         labels = {row[2] for row in rows if row[2]}
         parts = [label.rpartition("@") for label in sorted(labels)]
--- a/umberhitch/platform/standins/__init__.py
+++ b/umberhitch/platform/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform over sockets on loopback: its store, endpoints, an operator."""
+"""Stand-ins for the users' platform on loopback sockets: its store, endpoints and operator."""
 
 from umberhitch.platform.standins._endpoint import EndpointFaults, EndpointStandin
 from umberhitch.platform.standins._limited_link import LimitedLink
--- a/umberhitch/platform/standins/__main__.py
+++ b/umberhitch/platform/standins/__main__.py
@@ -1,22 +1,22 @@
-"""A platform on loopback, as a program: ``python -m umberhitch.platform.standins``.
+"""A stand-in platform on loopback, run by ``python -m umberhitch.platform.standins``.
 
-Prints the addresses of its store and of its control as one JSON line. Control calls:
+Prints the addresses of the store and of the control API as one JSON line. Control calls:
 
-| call | does |
+| call | effect |
 | --- | --- |
 | ``POST /operator/KEY`` | writes the body as an operator's document |
 | ``POST /endpoints/ID`` ``{"service", "version", "zone"}`` | starts an endpoint and registers it |
-| ``POST /endpoints/ID/cold`` ``{"seconds", "rate"}`` | registers it as cold; overrun, it ends |
-| ``GET /endpoints/ID/ended`` | whether its process has ended |
+| ``POST /endpoints/ID/cold`` ``{"seconds", "rate"}`` | makes it cold: overload crashes it |
+| ``GET /endpoints/ID/ended`` | returns whether its process has crashed |
 | ``POST /endpoints/ID/state/STATE`` | registers a state: ``ready``, ``draining``, or ``gone`` |
 | ``POST /endpoints/ID/entry`` | changes fields of its entry |
-| ``POST /entries/ID`` | writes the body as the entry, as any other writer may |
+| ``POST /entries/ID`` | writes the body as the entry, as any client of the store may |
 | ``POST /endpoints/ID/faults`` | sets fields of `EndpointFaults` |
-| ``GET /endpoints/ID/runs`` | what has run there |
-| ``GET /endpoints/ID/arrivals`` | what has arrived there, refused or not |
+| ``GET /endpoints/ID/runs`` | returns the requests that ran there |
+| ``GET /endpoints/ID/arrivals`` | returns the requests that arrived there, refused or not |
 | ``POST /store/faults`` | sets fields of `StoreFaults` |
-| ``POST /store/forget`` | drops the history; the newest record of each key stays |
-| ``GET /status/KEY`` | what the system wrote |
+| ``POST /store/forget`` | trims the history; the newest record of each key stays |
+| ``GET /status/KEY`` | returns the status record that a router wrote |
 """
 
 import sys
@@ -41,7 +41,7 @@
 
 
 class Platform:
-    """The store and the endpoints of one stand-in platform."""
+    """The store and the endpoints of one stand-in platform, with the control API."""
 
     app = Klein()
 
@@ -53,36 +53,36 @@
 
     @app.route("/operator/<path:key>", methods=["POST"])
     def write_operator(self, request: Any, key: str) -> bytes:
-        """Write an operator's document."""
+        """Write a document as an operator does."""
         self.store.put(OPERATOR_TOPIC, key, request.content.read())
         return send_json(request, 200, {})
 
     @app.route("/endpoints/<name>", methods=["POST"])
     def add_endpoint(self, request: Any, name: str) -> bytes:
-        """Start an endpoint."""
-        asked = json.decode(request.content.read())
+        """Start an endpoint and register it."""
+        fields = json.decode(request.content.read())
         endpoint = EndpointStandin(self._reactor, name)
         endpoint.port, address = listen_http(self._reactor, endpoint.app, ANY_PORT, MAX_BODY_BYTES)
         self._endpoints[name] = endpoint
         self._entries[name] = {
             "zone": "a",
             "slots": 8,
-            **asked,
+            **fields,
             "address": address,
             "state": "ready",
         }
-        self._set_cold(name, **asked.pop("cold", {}))
+        self._set_cold(name, **fields.pop("cold", {}))
         return send_json(request, 200, {"address": address})
 
     @app.route("/endpoints/<name>/cold", methods=["POST"])
     def make_cold(self, request: Any, name: str) -> bytes:
-        """Let an endpoint be cold from now on, and say so."""
+        """Make an endpoint cold from now on, and register it as cold."""
         self._set_cold(name, **json.decode(request.content.read()))
         return send_json(request, 200, {})
 
     @app.route("/endpoints/<name>/ended", methods=["GET"])
     def has_crashed(self, request: Any, name: str) -> bytes:
-        """Return whether an endpoint's process has ended."""
+        """Return whether an endpoint's process has crashed."""
         return send_json(request, 200, self._endpoints[name].has_crashed)
 
     def _set_cold(self, name: str, seconds: float = 0.0, rate: float = 0.0) -> None:
@@ -96,27 +96,27 @@
 
     @app.route("/endpoints/<name>/state/<state>", methods=["POST"])
     def set_state(self, request: Any, name: str, state: str) -> bytes:
-        """Register a state."""
+        """Register a state of an endpoint."""
         self._entries[name]["state"] = state
         self._register(name)
         return send_json(request, 200, {})
 
     @app.route("/endpoints/<name>/entry", methods=["POST"])
     def change_entry(self, request: Any, name: str) -> bytes:
-        """Change fields of an entry."""
+        """Change fields of an endpoint's entry."""
         self._entries[name] |= json.decode(request.content.read())
         self._register(name)
         return send_json(request, 200, {})
 
     @app.route("/entries/<name>", methods=["POST"])
     def write_entry(self, request: Any, name: str) -> bytes:
-        """Write an entry as it is."""
+        """Write an entry without validation."""
         self.store.put(ENDPOINT_TOPIC, name, request.content.read())
         return send_json(request, 200, {})
 
     @app.route("/store/forget", methods=["POST"])
     def trim_history(self, request: Any) -> bytes:
-        """Drop the history."""
+        """Trim the history of the topics of endpoints and operators."""
         for topic in (ENDPOINT_TOPIC, OPERATOR_TOPIC):
             self.store.trim_history(topic)
         return send_json(request, 200, {})
@@ -129,32 +129,32 @@
     @app.route("/endpoints/<name>/faults", methods=["POST"])
     def set_faults(self, request: Any, name: str) -> bytes:
         """Set an endpoint's faults."""
-        return _set(request, self._endpoints[name].faults)
+        return _apply_faults(request, self._endpoints[name].faults)
 
     @app.route("/store/faults", methods=["POST"])
     def set_store_faults(self, request: Any) -> bytes:
         """Set the store's faults."""
-        return _set(request, self.store.faults)
+        return _apply_faults(request, self.store.faults)
 
     @app.route("/endpoints/<name>/runs", methods=["GET"])
     def runs(self, request: Any, name: str) -> bytes:
-        """Return what has run."""
+        """Return the requests that ran on an endpoint."""
         return send_json(request, 200, [asdict(run) for run in self._endpoints[name].runs])
 
     @app.route("/endpoints/<name>/arrivals", methods=["GET"])
     def arrivals(self, request: Any, name: str) -> bytes:
-        """Return what has arrived."""
+        """Return the requests that arrived at an endpoint."""
         found = [asdict(arrival) for arrival in self._endpoints[name].arrivals]
         return send_json(request, 200, found)
 
     @app.route("/status/<path:key>", methods=["GET"])
     def status(self, request: Any, key: str) -> bytes:
-        """Return what the system wrote."""
+        """Return the status record that a router wrote, or None."""
         row = self.store.newest(STATUS_TOPIC).get(key)
         return send_json(request, 200, None if row is None else json.decode(row[0]))
 
 
-def _set(request: Any, faults: Any) -> bytes:
+def _apply_faults(request: Any, faults: Any) -> bytes:
     for name, value in json.decode(request.content.read()).items():
         if not hasattr(faults, name):
             return send_json(request, 400, {"error": f'no fault "{name}"'})
--- a/umberhitch/platform/standins/_endpoint.py
+++ b/umberhitch/platform/standins/_endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in of an endpoint of the users' platform: a model replica or a plain service."""
+"""Stand-in for an endpoint of the users' platform: a model replica or a plain service."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -13,35 +13,36 @@
 EVENT_COUNT = 4
 COLD_OVERRUN = 1.5
 COLD_SLACK = 5.0
-"""A cold endpoint ends by more within a second than its rate times the one, plus the other."""
+"""A cold endpoint crashes if more requests arrive in a second than `COLD_OVERRUN` times its rate,
+plus this many."""
 
 
 @dataclass
 class EndpointFaults:
-    """What is wrong with the endpoint at the moment.
+    """Faults that the endpoint shows at the moment.
 
     Attributes
     ----------
     status : int
-        Status of its replies.
+        Status of the replies.
     is_shedding : bool
-        It refuses everything, and says that nothing has run.
+        Whether the endpoint refuses every request and states that it did not run.
     loses_answers : bool
-        It runs everything, and breaks the connection off instead of answering.
+        Whether the endpoint runs every request and aborts the connection instead of replying.
     break_after : int
-        Streams break off within the event after so many; 0 for never.
+        Number of events after which a stream is cut off within the next event; 0 for never.
     event_s : float
-        Time between events.
+        Seconds between the events of a stream.
     crashes_on : str
-        A request with this body ends the endpoint.
+        Body of requests that crash the endpoint; empty for none.
     confidence : int
-        What its models declare.
+        Confidence that the endpoint's models declare in their replies.
     limit_rate : float or None
-        Requests a second that it names in each reply.
+        Limit in requests per second that each reply names; None for no limit.
     is_leaving : bool
-        It says in each reply that it leaves.
+        Whether each reply states that the endpoint is draining.
     rest_s : float or None
-        It refuses everything, and wants nothing for so long.
+        Back-off in seconds that the endpoint asks for while it refuses every request, or None.
     """
 
     status: int = 200
@@ -58,15 +59,15 @@
 
 @dataclass
 class Arrival:
-    """A request that arrived, whatever became of it."""
+    """A request that arrived, whether or not it ran."""
 
     call_id: str
     at_s: float
-    """On the machine's steady clock."""
+    """Time on the monotonic clock."""
     is_leaving: bool = False
-    """Whether it was told that the endpoint leaves."""
+    """Whether the reply stated that the endpoint is draining."""
     rest_s: float = 0.0
-    """For how long it was told that the endpoint wants nothing."""
+    """Back-off in seconds that the reply asked for."""
 
 
 @dataclass
@@ -77,12 +78,12 @@
     customer: str
     model: str
     at_s: float
-    """On the machine's steady clock."""
+    """Time on the monotonic clock."""
 
 
 @dataclass
 class EndpointStandin:
-    """An endpoint; serve ``app``."""
+    """A stand-in endpoint, served by the Klein application ``app``."""
 
     reactor: Any
     incarnation: str
@@ -90,37 +91,37 @@
     runs: list[Run] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     port: Any = None
-    """Where it listens."""
+    """Listening port of the endpoint."""
     has_crashed: bool = False
     cold_until_s: float = 0.0
-    """On the machine's steady clock."""
+    """Time on the monotonic clock."""
     cold_rate: float = 0.0
-    _arrived_s: deque[float] = field(default_factory=deque)
+    _arrival_times_s: deque[float] = field(default_factory=deque)
     _transports: set[Any] = field(default_factory=set)
 
     app = Klein()
 
     def crash(self) -> None:
-        """End as a process does: listen no more, then break every connection."""
+        """Stop listening, then abort every connection, as when the process crashes."""
         self.has_crashed = True
-        maybeDeferred(self.port.stopListening).addCallback(lambda _: self._break_all())
+        maybeDeferred(self.port.stopListening).addCallback(lambda _: self._abort_all())
 
-    def _break_all(self) -> None:
+    def _abort_all(self) -> None:
         for transport in self._transports:
             transport.abortConnection()
 
-    def _is_overrun(self) -> bool:
-        """Whether it is cold and has got more than it bears within the last second."""
+    def _is_cold_and_overloaded(self) -> bool:
+        """Return whether the endpoint is cold and received too many requests in the last second."""
         now_s = monotonic()
-        self._arrived_s.append(now_s)
-        while self._arrived_s[0] <= now_s - 1.0:
-            self._arrived_s.popleft()
-        bound = self.cold_rate * COLD_OVERRUN + COLD_SLACK
-        return now_s < self.cold_until_s and len(self._arrived_s) > bound
+        self._arrival_times_s.append(now_s)
+        while self._arrival_times_s[0] <= now_s - 1.0:
+            self._arrival_times_s.popleft()
+        max_arrivals = self.cold_rate * COLD_OVERRUN + COLD_SLACK
+        return now_s < self.cold_until_s and len(self._arrival_times_s) > max_arrivals
 
     @app.route("/", branch=True)
     def handle_request(self, request: Any) -> Any:
-        """Run any request."""
+        """Run or refuse any request."""
         self._transports.add(request.transport)
         if self.has_crashed:
             request.transport.abortConnection()
@@ -131,16 +132,16 @@
         self.arrivals.append(arrival)
         if self.faults.limit_rate is not None:
             request.setHeader("Server-Limit", f"{self.faults.limit_rate:g}")
-        expected = head.getRawHeaders("Expect-Instance", [self.incarnation])[0]
-        if expected != self.incarnation:
+        expected_incarnation = head.getRawHeaders("Expect-Instance", [self.incarnation])[0]
+        if expected_incarnation != self.incarnation:
             request.setHeader("Replica-Id", self.incarnation)
             request.setResponseCode(421)
             return b""
-        if self._is_overrun():
+        if self._is_cold_and_overloaded():
             self.crash()
             return Deferred()
         if self.faults.is_shedding or self.faults.rest_s is not None:
-            self._say(request, arrival)
+            self._add_signals(request, arrival)
             request.setHeader("Not-Executed", "1")
             request.setResponseCode(503)
             return b""
@@ -154,7 +155,7 @@
         if self.faults.loses_answers:
             request.transport.abortConnection()
             return Deferred()
-        self._say(request, arrival)
+        self._add_signals(request, arrival)
         request.setHeader("Attempt-Id", call_id)
         request.setHeader("Response-Signature", f"signed.{self.incarnation}.{call_id}")
         request.setResponseCode(self.faults.status)
@@ -165,8 +166,8 @@
         start = int(head.getRawHeaders("Last-Event-Id", ["0"])[0])
         return self._stream(request, start)
 
-    def _say(self, request: Any, arrival: Arrival) -> None:
-        """Say of itself what it has to, in an answer that is sent."""
+    def _add_signals(self, request: Any, arrival: Arrival) -> None:
+        """Add the headers of the endpoint's signals to a reply, and record them in the arrival."""
         if self.faults.is_leaving:
             arrival.is_leaving = True
             request.setHeader("Server-Leaving", "1")
@@ -176,11 +177,11 @@
 
     def _stream(self, request: Any, start: int) -> Deferred[None]:
         done: Deferred[None] = Deferred()
-        is_left: list[bool] = []
-        request.notifyFinish().addErrback(lambda failure: is_left.append(True))
+        disconnected: list[bool] = []
+        request.notifyFinish().addErrback(lambda failure: disconnected.append(True))
 
         def send(number: int, count: int) -> None:
-            if is_left:
+            if disconnected:
                 return
             if self.faults.break_after and count > self.faults.break_after:
                 request.write(b"id: %d\ndata: bro" % number)
--- a/umberhitch/platform/standins/_limited_link.py
+++ b/umberhitch/platform/standins/_limited_link.py
@@ -1,4 +1,4 @@
-"""Calls to the stand-in of the store over a link of limited bandwidth, on a virtual clock."""
+"""Calls to the stand-in store over a link of limited bandwidth, on a virtual clock."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qs, urlsplit
@@ -13,15 +13,17 @@
 __all__ = ["LimitedLink"]
 
 CHUNK_BYTES = 8192
-"""What arrives at once."""
+"""Bytes that arrive at once."""
 RESPONSE_DELAY_S = 0.004
-"""Time of the store for one answer, and of the way."""
+"""Seconds until a response starts, for the store's work and the network latency."""
 CLOCK_STEP_S = 0.01
-"""Virtual clocks are advanced by this; what is due in between comes so much late."""
+"""Seconds by which virtual clocks advance; events due within a step are late by up to this."""
 
 
 class LimitedLink:
-    """One router's way to the store; an `EndpointPort`. Calls under way share the bandwidth.
+    """One router's link to the store; implements `EndpointPort`.
+
+    Concurrent calls share the bandwidth.
 
     Parameters
     ----------
@@ -32,9 +34,9 @@
     Attributes
     ----------
     is_stalled : bool
-        Nothing arrives any more, while connections stay open.
+        Whether no more data arrives while connections stay open.
     received_bytes : int
-        Bytes of bodies that have arrived, also of calls that were given up.
+        Bytes of response bodies that arrived, including those of cancelled calls.
     """
 
     def __init__(self, store: StoreStandin, clock: Clock, bytes_per_s: float) -> None:
@@ -43,18 +45,18 @@
         self._store = store
         self._clock = clock
         self._bytes_per_s = bytes_per_s
-        self._free_s = 0.0
+        self._idle_from_s = 0.0
 
     def send(self, address: str, call: EndpointCall, events: CallEvents) -> RunningCall:
-        """Begin a call."""
+        """Start a call."""
         running = _LimitedCall(self, events)
-        self._clock.callLater(RESPONSE_DELAY_S, self._answer, call, running)
+        self._clock.callLater(RESPONSE_DELAY_S, self._respond, call, running)
         return running
 
     def close_idle(self, address: str) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, since the link has no connections."""
 
-    def _answer(self, call: EndpointCall, running: "_LimitedCall") -> None:
+    def _respond(self, call: EndpointCall, running: "_LimitedCall") -> None:
         url = urlsplit(call.target.decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         topic = query.get("topic", "")
@@ -68,17 +70,17 @@
                     json.encode(self._store.newest_page(topic, query.get("after", "")))
                 )
             case _:
-                raise ValueError(f"not known here: {url.path}")
+                raise ValueError(f"unknown path: {url.path}")
 
-    def transfer(self, size: int, arrived: Callable[[], None]) -> None:
-        """Call back when so many bytes have come over the link."""
-        begin_s = max(self._free_s, self._clock.seconds() - CLOCK_STEP_S)
-        self._free_s = begin_s + size / self._bytes_per_s
-        self._clock.callLater(max(0.0, self._free_s - self._clock.seconds()), arrived)
+    def transfer(self, size: int, on_arrival: Callable[[], None]) -> None:
+        """Call ``on_arrival`` once ``size`` bytes have been transferred over the link."""
+        start_s = max(self._idle_from_s, self._clock.seconds() - CLOCK_STEP_S)
+        self._idle_from_s = start_s + size / self._bytes_per_s
+        self._clock.callLater(max(0.0, self._idle_from_s - self._clock.seconds()), on_arrival)
 
 
 class _LimitedCall:
-    """One call; a `RunningCall`."""
+    """One call over the link; implements `RunningCall`."""
 
     def __init__(self, link: LimitedLink, events: CallEvents) -> None:
         self._link = link
@@ -86,39 +88,39 @@
         self._body = b""
 
     def start_response(self, body: bytes) -> None:
-        """Send head and body."""
+        """Deliver the head, then the body in chunks."""
         if self._events is None:
             return
         self._body = body
         self._events.on_head(ReplyHead(200, [(b"Content-Length", str(len(body)).encode())]))
-        self._carry_next()
+        self._transfer_next()
 
-    def _carry_next(self) -> None:
+    def _transfer_next(self) -> None:
         if self._events is None or self._link.is_stalled:
             return
         if not self._body:
             self._events.on_end()
             return
-        self._link.transfer(len(self._body[:CHUNK_BYTES]), self._on_piece)
+        self._link.transfer(len(self._body[:CHUNK_BYTES]), self._on_chunk)
 
-    def _on_piece(self) -> None:
+    def _on_chunk(self) -> None:
         if self._events is None or self._link.is_stalled:
             return
-        piece, self._body = self._body[:CHUNK_BYTES], self._body[CHUNK_BYTES:]
-        self._link.received_bytes += len(piece)
-        self._events.on_data(piece)
-        self._carry_next()
+        chunk, self._body = self._body[:CHUNK_BYTES], self._body[CHUNK_BYTES:]
+        self._link.received_bytes += len(chunk)
+        self._events.on_data(chunk)
+        self._transfer_next()
 
     def cancel(self) -> None:
-        """Break off."""
+        """Deliver no more events."""
         self._events = None
 
     def detach(self) -> None:
-        """Drop what comes."""
+        """Deliver no more events."""
         self._events = None
 
     def pause(self) -> None:
-        """Go on: the store's answers are never paused."""
+        """Do nothing, since the store's responses are never paused."""
 
     def resume(self) -> None:
-        """Go on."""
+        """Do nothing, since the store's responses are never paused."""
--- a/umberhitch/platform/standins/client.py
+++ b/umberhitch/platform/standins/client.py
@@ -1,4 +1,4 @@
-"""Drives a stand-in platform and routers on it, for tests and for trying things out."""
+"""Client that starts and controls a stand-in platform and its routers, for tests and demos."""
 
 import subprocess
 import sys
@@ -52,18 +52,18 @@
 
 COLD_START_S = 3.0
 MAX_WAIT_S = 40.0
-"""Longest wait for anything; far more than it takes, so that a busy machine changes no verdict."""
+"""Seconds; far longer than any operation takes, so that a busy machine does not fail a test."""
 POLL_INTERVAL_S = 0.05
 LOOPBACK = "127.0.0.1:0"
 
 
 def wait_until(check: Callable[[], Any]) -> Any:
-    """Return what a check returns as soon as it is true.
+    """Poll a check until its result is true, and return the result.
 
     Raises
     ------
     TimeoutError
-        If it never is.
+        If the result is still false after `MAX_WAIT_S`.
     """
     end_s = monotonic() + MAX_WAIT_S
     while monotonic() < end_s:
@@ -71,12 +71,12 @@
         if found:
             return found
         sleep(POLL_INTERVAL_S)
-    raise TimeoutError("never came true")
+    raise TimeoutError("the condition did not become true in time")
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What a caller got; the status is 0 where the connection broke before an answer."""
+    """The answer to a caller; the status is 0 if the connection broke before an answer."""
 
     status: int
     body: bytes
@@ -87,7 +87,7 @@
 def call(
     address: str, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Answer:
-    """Make one HTTP call on a connection of its own."""
+    """Make one HTTP call on a new connection."""
     connection = HTTPConnection(address, timeout=MAX_WAIT_S)
     try:
         connection.request(method, path, body or None, headers or {})
@@ -106,14 +106,14 @@
 
 @dataclass
 class RouterProcess:
-    """A router of the direct path, as a process."""
+    """A router of the direct path in a separate process."""
 
     process: subprocess.Popen
     addresses: dict[str, str]
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer would send callers there."""
+        """Whether a load balancer would send callers to the router."""
         return call(self.addresses["readiness"], "GET", "/-/readyz").status == 200
 
     def status(self) -> dict[str, Any]:
@@ -121,7 +121,7 @@
         return json.decode(self.page("/status"))
 
     def endpoint_signals(self, kind: str) -> list[dict[str, Any]]:
-        """Return what endpoints have said of one kind, as it stands at the router."""
+        """Return the endpoint signals of one kind that the router knows."""
         return [each for each in self.status()["endpoint_signals"] if each["signal"] == kind]
 
     def burn_report(self) -> dict[str, Any]:
@@ -152,19 +152,19 @@
         return call(self.addresses["callers"], "POST", path, body, headers)
 
     def kill(self) -> None:
-        """End it without notice."""
+        """Kill the process without a drain."""
         self.process.kill()
         self.process.wait()
 
 
 @dataclass
 class LocalPlatform:
-    """A stand-in platform in a process of its own, and the routers on it.
+    """A stand-in platform in a separate process, and the routers that use it.
 
     Parameters
     ----------
     folder : Path
-        For settings and logs.
+        Folder for settings and logs.
     """
 
     folder: Path
@@ -178,7 +178,7 @@
         self.store, self._control = found["store"], found["control"]
 
     def close(self) -> None:
-        """End every process that was started here."""
+        """Kill the stand-in platform and all its routers."""
         for router in self.routers:
             router.kill()
         self._process.kill()
@@ -187,7 +187,7 @@
         self._process.stdout.close()
 
     def control(self, method: str, path: str, body: Any = None) -> Any:
-        """Make a call of the stand-in's control."""
+        """Make a call to the control API of the stand-in platform."""
         answer = call(self._control, method, path, b"" if body is None else json.encode(body))
         assert answer.status == 200, answer
         return json.decode(answer.body)
@@ -197,7 +197,8 @@
     ) -> None:
         """Publish a configuration with three routes, one of each kind, and one customer's keys.
 
-        With a ``cold_rate`` its endpoints may be cold, and bear so many requests a second then.
+        If ``cold_rate`` is not 0, endpoints may be cold and then sustain this many requests per
+        second.
         """
         engine = {"slots": 8, "kvCapacityTokens": 10000}
         cold = {"coldStartS": COLD_START_S, "coldPerS": cold_rate} if cold_rate else {}
@@ -212,16 +213,16 @@
     def add_endpoint(
         self, name: str, version: str = "v1", zone: str = "a", cold: dict[str, float] | None = None
     ) -> None:
-        """Start an endpoint and register it; ``cold`` has its ``seconds`` and ``rate`` if it is."""
+        """Start and register an endpoint; ``cold`` has ``seconds`` and ``rate`` of a cold one."""
         entry = {"service": "svc", "version": version, "zone": zone, "cold": cold or {}}
         self.control("POST", f"/endpoints/{name}", entry)
 
     def make_cold(self, name: str, seconds: float, rate: float) -> None:
-        """Let an endpoint be cold from now on, and say so."""
+        """Make an endpoint cold from now on, and register it as cold."""
         self.control("POST", f"/endpoints/{name}/cold", {"seconds": seconds, "rate": rate})
 
     def has_crashed(self, name: str) -> bool:
-        """Return whether an endpoint's process has ended."""
+        """Return whether an endpoint's process has crashed."""
         return bool(self.control("GET", f"/endpoints/{name}/ended"))
 
     def evacuate_zone(self, zone: str) -> None:
@@ -229,45 +230,45 @@
         self.control("POST", f"/operator/evacuate/{zone}", {})
 
     def restore_zone(self, zone: str) -> None:
-        """Take it back into service."""
+        """Return an availability zone to service."""
         answer = call(self._control, "POST", f"/operator/evacuate/{zone}")
         assert answer.status == 200, answer
 
     def drain_endpoint(self, name: str) -> None:
-        """Let an endpoint say that it is leaving."""
+        """Register an endpoint as draining."""
         self.control("POST", f"/endpoints/{name}/state/draining")
 
     def write_entry(self, name: str, entry: bytes) -> None:
-        """Write an entry in the registry as any other writer may."""
+        """Write an entry in the registry without validation, as any client of the store may."""
         answer = call(self._control, "POST", f"/entries/{name}", entry)
         assert answer.status == 200, answer
 
     def break_streams(self, name: str, after_events: int) -> None:
-        """Let an endpoint break streams off after so many events."""
+        """Make an endpoint cut off streams after ``after_events`` events."""
         self.control("POST", f"/endpoints/{name}/faults", {"break_after": after_events})
 
     def set_store_down(self, is_down: bool) -> None:
-        """Let the store refuse every call, or serve again."""
+        """Make the store refuse every call, or serve calls again."""
         self.control("POST", "/store/faults", {"is_down": is_down})
 
     def runs(self, endpoint: str) -> list[dict[str, Any]]:
-        """Return what has run on an endpoint."""
+        """Return the requests that ran on an endpoint."""
         return self.control("GET", f"/endpoints/{endpoint}/runs")
 
     def arrivals(self, endpoint: str) -> list[dict[str, Any]]:
-        """Return what has arrived at an endpoint, refused or not."""
+        """Return the requests that arrived at an endpoint, refused or not."""
         return self.control("GET", f"/endpoints/{endpoint}/arrivals")
 
     def set_rate_limit(self, endpoint: str, rate: float | None) -> None:
-        """Let an endpoint name the requests a second that it takes, or none any more."""
+        """Make an endpoint's replies name a limit in requests per second; None for no limit."""
         self.control("POST", f"/endpoints/{endpoint}/faults", {"limit_rate": rate})
 
     def signal_draining(self, name: str) -> None:
-        """Let an endpoint say in its replies that it leaves; its entry stays as it is."""
+        """Make an endpoint's replies state that it is draining; its entry does not change."""
         self.control("POST", f"/endpoints/{name}/faults", {"is_leaving": True})
 
     def request_backoff(self, name: str, backoff_s: float | None) -> None:
-        """Let an endpoint refuse everything and want nothing for so long; None ends that."""
+        """Make an endpoint refuse every request and ask for a back-off; None ends this."""
         self.control("POST", f"/endpoints/{name}/faults", {"rest_s": backoff_s})
 
     def start_router(
@@ -282,9 +283,9 @@
         ----------
         name : str
         store : str or None
-            Where it reaches the store, if not straight.
+            Address at which the router reaches the store; None for the store itself.
         module : tuple of str
-            What is run, with its arguments.
+            Module to run, followed by its arguments.
         """
         settings = {
             "role": "gateway",
@@ -299,10 +300,10 @@
         path.write_bytes(json.encode(settings))
         log = self.folder / f"{name}.log"
         command = [sys.executable, "-m", *module, f"--settings={path}"]
-        with log.open("ab") as sink:
-            begin = sink.tell()
-            process = subprocess.Popen(command, stderr=sink)
-        addresses = wait_until(lambda: _addresses(log.read_bytes()[begin:]))
+        with log.open("ab") as log_file:
+            log_start = log_file.tell()
+            process = subprocess.Popen(command, stderr=log_file)
+        addresses = wait_until(lambda: _addresses(log.read_bytes()[log_start:]))
         router = RouterProcess(process, addresses)
         self.routers.append(router)
         wait_until(lambda: router.is_ready)
--- a/umberhitch/platform/tests/limited_links.py
+++ b/umberhitch/platform/tests/limited_links.py
@@ -1,4 +1,4 @@
-"""Builds routers that read large configurations from the store over links of limited bandwidth."""
+"""Routers that read large configurations from the store over links of limited bandwidth."""
 
 from msgspec import json
 
@@ -16,16 +16,16 @@
 ]
 
 SLOW_LINK = 5e6 / 8
-"""Bytes a second of the slowest links seen, 5 Mbit/s."""
+"""Bytes per second of the slowest links seen, 5 Mbit/s."""
 FAST_LINK = 100e6 / 8
 LARGE_ROUTES = 4250
-"""Routes of the largest configuration seen, 0.8 MB."""
+"""Number of routes of the largest configuration seen, 0.8 MB."""
 LARGER_ROUTES = 5250
-"""Routes of a configuration that is larger than any seen, 1.0 MB."""
+"""Number of routes of a configuration larger than any seen, 1.0 MB."""
 TOPIC = "keyed.op"
 STEP_S = 0.01
 MAX_PROPAGATION_S = 3.0
-"""A configuration is in force everywhere within this."""
+"""Seconds within which a configuration must be in force at all routers."""
 
 
 def _route(number: int, prefix: str) -> dict[str, object]:
@@ -44,13 +44,13 @@
 
 
 def encode_configuration(number: int, routes: int) -> bytes:
-    """Return a configuration whose route ``/n{number}/`` no other has."""
-    listed = [_route(each, f"/p{each:05}/") for each in range(routes)]
-    listed.append(_route(routes, f"/n{number}/"))
+    """Return an encoded configuration; only this one has the route ``/n{number}/``."""
+    route_list = [_route(each, f"/p{each:05}/") for each in range(routes)]
+    route_list.append(_route(routes, f"/n{number}/"))
     return json.encode(
         {
             "version": number,
-            "routes": listed,
+            "routes": route_list,
             "services": [{"name": "svc"}],
             "tenants": [{"name": "c1", "apiKeys": ["key-1"]}],
         }
@@ -58,7 +58,7 @@
 
 
 class LimitedLinkWorld(DirectWorld):
-    """A world whose configurations come from the stand-in of the store, over thin links."""
+    """A world whose routers read configurations from the stand-in store over limited links."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -67,11 +67,11 @@
         self.add_endpoint("e1")
 
     def publish(self, number: int, routes: int) -> None:
-        """Put a configuration in force."""
+        """Write a configuration to the store."""
         self.store.put(TOPIC, "config", encode_configuration(number, routes))
 
     def add_limited_router(self, name: str, bytes_per_s: float, **settings: object) -> DirectRouter:
-        """Start a router with a link of its own."""
+        """Start a router with its own link of limited bandwidth."""
         link = self.links[name] = LimitedLink(self.store, self.clock, bytes_per_s)
         feed = make_operator_feed(StoreClient(link, self.clock, "10.0.0.1:80"))  # type: ignore
         settings.setdefault("link_mbps", bytes_per_s * 8 / 1e6)
@@ -83,11 +83,11 @@
         return [0 if table is None else table.document.number for table in tables]
 
     def in_force_s(self, number: int, max_wait_s: float = 20.0) -> float:
-        """Let time pass until a configuration is in force at all routers; return how long."""
-        begin_s = self.clock.seconds()
+        """Advance the clock until a configuration is in force everywhere; return the seconds."""
+        start_s = self.clock.seconds()
         while (
             min(self.configuration_numbers()) < number
-            and self.clock.seconds() - begin_s < max_wait_s
+            and self.clock.seconds() - start_s < max_wait_s
         ):
             self.clock.advance(STEP_S)
-        return self.clock.seconds() - begin_s
+        return self.clock.seconds() - start_s
--- a/umberhitch/platform/tests/test_documents.py
+++ b/umberhitch/platform/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents in the users' store: decoded whole, or reported with their place."""
+"""Documents in the platform's store are decoded, or reported with the position of the error."""
 
 import pytest
 from msgspec import json
@@ -58,20 +58,20 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("change", "position"),
     [
         ({"version": "x"}, "$.version"),
         ({"routes": [{**CONFIG["routes"][0], "timeoutMs": None}]}, "$.routes[0].timeoutMs"),
         ({"routes": [{**CONFIG["routes"][0], "kind": "odd"}]}, "odd"),
     ],
 )
-def test_a_configuration_that_does_not_validate_is_reported_with_its_place(change, place):
+def test_an_invalid_configuration_is_reported_with_the_position_of_the_error(change, position):
     with pytest.raises(ConfigError) as caught:
         decode_operator("config", json.encode({**CONFIG, **change}))
-    assert place in str(caught.value)
+    assert position in str(caught.value)
 
 
-def test_orders_entries_and_states():
+def test_rollout_orders_entries_and_states_are_decoded():
     order = decode_operator("rollout/x", b'{"service":"x","target":"v2","durationS":12}')
     assert order == RolloutOrder("x", "v2", 12.0)
     assert decode_operator("unheard-of", b"{}") is None
@@ -85,11 +85,11 @@
 
 
 @pytest.mark.parametrize("value", [b"{}", b"\xff\xfe", b"[" * 5000, b"null", b"0"])
-def test_a_zones_record_says_that_it_is_out_whatever_is_in_it(value):
+def test_a_zones_record_takes_the_zone_out_of_service_whatever_its_content(value):
     assert decode_operator("evacuate/suva-a", value) == ZoneOut("suva-a")
 
 
-def test_a_service_says_how_its_endpoints_start():
+def test_a_services_cold_start_settings_are_decoded():
     raw = json.decode(json.encode(CONFIG))
     raw["services"][0] |= {"coldStartS": 3.0, "coldPerS": 14.0}
     document = decode_operator("config", json.encode(raw))
--- a/umberhitch/platform/tests/test_entries.py
+++ b/umberhitch/platform/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of endpoints that any writer may have written."""
+"""Validation of endpoints' entries, which any client of the store may have written."""
 
 import logging
 import struct
@@ -28,9 +28,9 @@
     "sequence": 3,
     "born": 1_790_000_000_000,
 }
-NEEDED = ("service", "address", "version", "slots", "state")
-BROKEN: list[dict[str, Any]] = [
-    *({key: GOOD[key] for key in GOOD if key != left_out} for left_out in NEEDED),
+REQUIRED = ("service", "address", "version", "slots", "state")
+INVALID: list[dict[str, Any]] = [
+    *({key: GOOD[key] for key in GOOD if key != omitted} for omitted in REQUIRED),
     {**GOOD, "state": "asleep"},
     {**GOOD, "state": 1},
     {**GOOD, "service": None},
@@ -62,7 +62,7 @@
 
 
 class _Store:
-    """Answers each read with the next body."""
+    """Returns the next body for each read."""
 
     def __init__(self, *bodies: bytes) -> None:
         self.clock = Clock()
@@ -72,7 +72,7 @@
         return 200, self.bodies.pop(0)
 
 
-def _since(store: _Store) -> FeedBatch[EndpointEntry]:
+def _read_since(store: _Store) -> FeedBatch[EndpointEntry]:
     feed = KeyedFeed(store, "keyed.servers", decode_endpoint, invalid_deletes=True)  # type: ignore[arg-type]
     found: list[FeedBatch[EndpointEntry]] = []
     done: Deferred[FeedBatch[EndpointEntry]] = ensureDeferred(feed.since(0, 0.0, 1.0))
@@ -80,7 +80,7 @@
     return found[0]
 
 
-def test_an_entry_says_when_its_process_was_born():
+def test_born_is_read_from_an_entry():
     assert decode_endpoint("i-1", json.encode(GOOD)).born == GOOD["born"]
     assert decode_endpoint("i-1", json.encode({**GOOD, "born": None})).born is None
     del (entry := dict(GOOD))["born"]
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "cold_s"),
+    ("fields", "cold_s"),
     [
         ({}, None),
         ({"coldRemainingMs": None}, None),
@@ -98,24 +98,24 @@
         ({"coldRemainingMs": 1e300}, 3600.0),
     ],
 )
-def test_an_entry_says_how_long_it_stays_cold_and_an_odd_word_takes_no_endpoint_away(said, cold_s):
-    entry = decode_endpoint("e1", json.encode({**GOOD, **said}))
+def test_the_cold_time_is_read_from_an_entry_and_odd_values_do_not_invalidate_it(fields, cold_s):
+    entry = decode_endpoint("e1", json.encode({**GOOD, **fields}))
     assert entry.cold_s == cold_s
 
 
-@pytest.mark.parametrize("entry", BROKEN, ids=lambda each: str(sorted(each.items()))[:60])
-def test_an_entry_that_does_not_validate_is_reported_with_its_key(entry):
+@pytest.mark.parametrize("entry", INVALID, ids=lambda each: str(sorted(each.items()))[:60])
+def test_an_invalid_entry_is_reported_with_its_key(entry):
     with pytest.raises(ConfigError, match="i-1"):
         decode_endpoint("i-1", json.encode(entry))
 
 
 @pytest.mark.parametrize("key", ["", "i 1", "i\r\nX: y", "ä", "i" * 256])
-def test_a_key_that_cannot_be_sent_in_a_header_names_no_endpoint(key):
+def test_a_key_that_cannot_be_sent_in_a_header_is_rejected(key):
     with pytest.raises(ConfigError):
         decode_endpoint(key, json.encode(GOOD))
 
 
-def test_the_others_hold_beside_records_that_cannot_be_read():
+def test_unreadable_records_do_not_affect_the_others():
     records = (
         b"",
         b"\x09i-1",
@@ -125,20 +125,20 @@
         b"\x03i-4\x80\x81",
         _record("i-5", GOOD),
     )
-    batch = _since(_Store(_raw(*records)))
+    batch = _read_since(_Store(_raw(*records)))
     assert batch.end == len(records)
     found = {record.key: record.value for record in batch.records}
     assert found.pop("i-5").address == "10.0.0.1:80"
     assert found == {"i-2": None, "i-3": None, "i-4": None}
 
 
-def test_a_broken_entry_in_place_of_a_good_one_takes_it_away():
-    """Who begins to read now sees only the broken one, and all routers are to see the same."""
-    batch = _since(_Store(_raw(_record("i-1", GOOD), _record("i-1", {**GOOD, "state": "?"}))))
+def test_an_invalid_entry_deletes_the_valid_one_that_it_replaces():
+    """A reader that starts now sees only the invalid entry, and all routers must agree."""
+    batch = _read_since(_Store(_raw(_record("i-1", GOOD), _record("i-1", {**GOOD, "state": "?"}))))
     assert [record.value is None for record in batch.records] == [False, True]
 
 
-def test_lines_on_broken_records_are_few(caplog):
+def test_log_lines_about_invalid_records_are_rate_limited(caplog):
     clock = Clock()
     problems = ProblemLog(clock, "keyed.servers")
     with caplog.at_level(logging.WARNING):
@@ -158,7 +158,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(sorted(GOOD)), VALUES), st.text(max_size=300))
-def test_no_entry_ends_a_reader(changes, key):
+def test_no_entry_raises_anything_but_a_config_error(changes, key):
     try:
         entry = decode_endpoint(key, json.encode({**GOOD, **changes}))
     except ConfigError:
@@ -168,13 +168,13 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6))
-def test_no_bytes_end_a_reader(records):
-    batch = _since(_Store(_raw(*records)))
+def test_no_record_bytes_fail_a_read(records):
+    batch = _read_since(_Store(_raw(*records)))
     assert batch.end == len(records)
 
 
 @given(st.binary(max_size=60))
-def test_an_answer_of_any_bytes_is_read_or_reported(data):
+def test_a_response_of_any_bytes_is_parsed_or_reported(data):
     try:
         _parse_records(data, 0)
     except LogUnavailableError:
--- a/umberhitch/platform/tests/test_headers.py
+++ b/umberhitch/platform/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Heads on the users' platform: what passes, what does not, and what it means."""
+"""Headers on the users' platform: forwarding, dropping and decoding."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     (b"Prompt-Prefix", b"5c1e:800,91bd:200"),
     (b"X-Own", b"1"),
 ]
-EXTRAS = CallMetadata(1.2, "i-1", "acme", "large", 12, b"7")
+METADATA = CallMetadata(1.2, "i-1", "acme", "large", 12, b"7")
 
 
 def read(*more: tuple[bytes, bytes]):
@@ -26,16 +26,16 @@
 
 
 def test_a_request_is_decoded():
-    ask = read()
-    assert (ask.host, ask.path, ask.key, ask.patience_s) == (
+    req = read()
+    assert (req.host, req.path, req.key, req.patience_s) == (
         "models.example",
         "/a/b",
         "secret",
         1.5,
     )
-    assert ask.picks_model
-    assert ask.prompt == (PromptPart("5c1e", 800), PromptPart("91bd", 200))
-    assert ask.output_tokens == 80
+    assert req.picks_model
+    assert req.prompt == (PromptPart("5c1e", 800), PromptPart("91bd", 200))
+    assert req.output_tokens == 80
 
 
 @pytest.mark.parametrize(
@@ -54,14 +54,14 @@
         b"TE",
     ],
 )
-def test_what_only_the_router_may_set_does_not_pass(name: bytes):
-    headers = WIRE.call_headers(read((name, b"forged")), EXTRAS)
+def test_headers_that_only_the_router_may_set_are_not_forwarded(name: bytes):
+    headers = WIRE.call_headers(read((name, b"forged")), METADATA)
     assert (name, b"forged") not in headers
 
 
-def test_what_the_router_sets_is_set_once():
+def test_headers_that_the_router_sets_are_sent_once():
     forged = [(b"tenant", b"other"), (b"Connection", b"X-Own"), (b"last-event-id", b"3")]
-    headers = WIRE.call_headers(read(*forged), EXTRAS)
+    headers = WIRE.call_headers(read(*forged), METADATA)
     names = [name.lower() for name, _ in headers]
     assert len(names) == len(set(names))
     assert b"x-own" not in names
@@ -116,7 +116,7 @@
         (500, [], False),
     ],
 )
-def test_only_a_promise_means_not_run(status: int, headers: list, not_run: bool):
+def test_only_an_explicit_guarantee_means_not_run(status: int, headers: list, not_run: bool):
     assert WIRE.read_reply(status, headers).not_run is not_run
 
 
@@ -135,12 +135,12 @@
         ([b"many", b"2.5"], 2.5),
     ],
 )
-def test_a_rate_that_an_endpoint_names_is_read_and_the_lowest_of_several_counts(values, rate):
+def test_the_lowest_rate_limit_of_a_reply_counts(values, rate):
     head = WIRE.read_reply(200, [(b"server-LIMIT", value) for value in values])
     assert head.signals.limit == Rate(rate)
 
 
-def test_a_reply_without_a_rate_names_none():
+def test_a_reply_without_a_rate_limit_has_none():
     head = WIRE.read_reply(200, [(b"Attempt-Id", b"abc")])
     assert head.signals.limit == Rate()
 
@@ -164,12 +164,12 @@
         b".",
     ],
 )
-def test_an_odd_word_is_told_from_a_rate_and_from_none(value: bytes):
+def test_a_malformed_rate_limit_is_neither_a_rate_nor_missing(value: bytes):
     head = WIRE.read_reply(503, [(b"Server-Limit", value)])
     assert head.signals.limit == Rate(None, is_malformed=True)
 
 
-def test_the_rate_goes_on_to_the_caller_as_it_came():
+def test_the_rate_limit_is_forwarded_to_the_caller_unchanged():
     head = WIRE.read_reply(200, [(b"Server-Limit", b"2.3")])
     assert head.headers == [(b"Server-Limit", b"2.3")]
 
@@ -192,14 +192,14 @@
         ([b"Wed, 21 Oct 2015 07:28:05 GMT, 9"], 9.0),
     ],
 )
-def test_a_time_to_come_back_is_read_in_all_its_forms_and_the_longest_counts(values, seconds):
+def test_retry_after_is_read_in_all_its_forms_and_the_longest_counts(values, seconds):
     wire = PlatformWire(lambda: 1_445_412_480.0)  # 21 October 2015, 7:28:00
     head = wire.read_reply(503, [(b"RETRY-after", value) for value in values])
     assert head.signals.backoff_s == seconds
     assert head.signals.malformed == ()
 
 
-def test_a_date_to_come_back_counts_from_when_the_reply_was_written_by_the_same_clock():
+def test_a_retry_after_date_is_relative_to_the_date_of_the_reply():
     headers = [
         (b"Date", b"Wed, 21 Oct 2015 09:00:00 GMT"),
         (b"Retry-After", b"Wed, 21 Oct 2015 09:00:04 GMT"),
@@ -227,25 +227,25 @@
         b"Wed, 21 Oct 2015",
     ],
 )
-def test_an_odd_time_to_come_back_is_none(value: bytes):
+def test_a_malformed_retry_after_sets_no_backoff(value: bytes):
     signals = WIRE.read_reply(503, [(b"Retry-After", value)]).signals
     assert signals.backoff_s is None
     assert signals.malformed == ("retry-after",)
 
 
 @pytest.mark.parametrize("status", [200, 404, 429, 500, 502])
-def test_a_time_to_come_back_with_another_status_is_the_callers(status: int):
+def test_retry_after_with_another_status_is_only_forwarded_to_the_caller(status: int):
     head = WIRE.read_reply(status, [(b"Retry-After", b"3")])
     assert head.signals.backoff_s is None
     assert head.headers == [(b"Retry-After", b"3")]
 
 
-def test_503_alone_asks_for_no_rest():
+def test_503_without_retry_after_sets_no_backoff():
     assert WIRE.read_reply(503, [(b"Not-Executed", b"1")]).signals == HeadSignals()
 
 
 @pytest.mark.parametrize(
-    ("values", "is_draining", "is_odd"),
+    ("values", "is_draining", "is_malformed"),
     [
         ([], False, False),
         ([b"1"], True, False),
@@ -263,12 +263,12 @@
         ([b"1" * 300], False, True),
     ],
 )
-def test_that_an_endpoint_leaves_is_read_in_all_its_forms(values, is_draining, is_odd):
+def test_the_draining_signal_is_read_in_all_its_forms(values, is_draining, is_malformed):
     signals = WIRE.read_reply(200, [(b"server-LEAVING", value) for value in values]).signals
     assert signals.is_draining is is_draining
-    assert signals.malformed == (("server-leaving",) if is_odd else ())
+    assert signals.malformed == (("server-leaving",) if is_malformed else ())
 
 
-def test_headers_that_nobody_knows_are_told_from_those_of_the_register():
+def test_headers_that_are_not_in_the_register_are_reported_as_unknown():
     headers = [(b"Date", b"now"), (b"Server-Mood", b"low"), (b"Attempt-Id", b"a")]
     assert WIRE.read_reply(200, headers).signals.unknown == ((b"server-mood", b"low"),)
--- a/umberhitch/platform/tests/test_large_documents.py
+++ b/umberhitch/platform/tests/test_large_documents.py
@@ -1,9 +1,9 @@
-"""Large configurations over thin links are in force in time.
+"""Large configurations come into force in time over links of limited bandwidth.
 
-Seen on deployments of some 25 routers, most of them on links of 5 Mbit/s: confirmed configurations
-of 0.5 to 0.8 MB were not in force within 3 s, or never, and those routers read 0.5 MB a second
-without end. The store answered at once and processors were idle (1 to 5 %). Each of the causes
-below keeps its own test red while all others are mended.
+On deployments of about 25 routers, most on links of 5 Mbit/s, confirmed configurations of 0.5 to
+0.8 MB came into force after more than 3 s or never, and those routers kept reading 0.5 MB per
+second, while the store answered at once and the processors were 1 to 5 % busy. The causes are
+independent: each makes its own test below fail even if all others are fixed.
 """
 
 import pytest
@@ -20,10 +20,10 @@
 
 
 @pytest.mark.parametrize("is_start", [False, True])
-def test_a_configuration_that_takes_longer_to_read_than_the_store_to_answer_is_read(is_start):
-    """A read was given up 1.0 s after it was sent, however much of it had come, and begun anew.
+def test_a_configuration_that_takes_longer_to_read_than_the_call_timeout_is_read(is_start):
+    """A read was cancelled and restarted after 1.0 s, even if most of the data had arrived.
 
-    At a start it is all the longer, since the store encodes the newest values in base64.
+    A read at start-up takes longer still, since the store encodes the newest values in base64.
     """
     world = LimitedLinkWorld()
     world.publish(1, LARGE_ROUTES if is_start else 10)
@@ -38,7 +38,7 @@
 
 
 def test_of_configurations_in_quick_succession_only_the_newest_is_read():
-    """Each was read whole, one after the other: what was left to read grew meanwhile."""
+    """Each configuration was read in full, one after the other, while the backlog grew."""
     world = LimitedLinkWorld()
     world.publish(1, 2000)
     world.add_limited_router("r1", SLOW_LINK)
@@ -49,7 +49,7 @@
     assert world.in_force_s(13) < MAX_PROPAGATION_S
 
 
-def test_what_else_operators_wrote_is_not_passed_over_with_configurations():
+def test_other_operator_records_are_not_skipped_with_configurations():
     world = LimitedLinkWorld()
     world.publish(1, 2000)
     world.add_limited_router("r1", SLOW_LINK)
@@ -64,7 +64,7 @@
     assert world.routers["r1"].trials.is_any_open()
 
 
-def test_a_large_configuration_behind_which_an_order_stands_is_read():
+def test_a_large_configuration_followed_by_an_order_is_read():
     world = LimitedLinkWorld()
     world.publish(1, 2000)
     world.add_limited_router("r1", SLOW_LINK)
@@ -77,8 +77,8 @@
 
 @pytest.mark.parametrize("is_any_fast", [False, True])
 @pytest.mark.parametrize("phase_s", [0.0, 0.1, 0.4, 1.0])
-def test_a_reader_on_a_slow_link_does_not_hold_up_the_others(is_any_fast, phase_s):
-    """The first by name read for all, and told the others when it had the whole: two transfers."""
+def test_a_reader_on_a_slow_link_does_not_delay_the_others(is_any_fast, phase_s):
+    """The first router by name read for all and forwarded the complete value: two transfers."""
     world = LimitedLinkWorld()
     world.publish(1, 10)
     for name in ("r0", "r1", "r2"):
@@ -92,8 +92,8 @@
 
 @pytest.mark.parametrize("path", ["/p00001/x", "/n2/x"])
 @pytest.mark.parametrize("is_alone", [False, True])
-def test_a_configuration_that_is_known_to_be_replaced_does_not_serve_past_the_bound(path, is_alone):
-    """Requests were served, or told that there is no such route, by one known to be old."""
+def test_a_configuration_known_to_be_replaced_is_not_used_past_the_bound(path, is_alone):
+    """Requests were served, or answered with 404, by a configuration known to be outdated."""
     world = LimitedLinkWorld()
     world.publish(1, 10)
     if not is_alone:
@@ -102,25 +102,25 @@
     world.run(5.0)
     world.publish(2, LARGE_ROUTES)
     world.run(MAX_PROPAGATION_S)
-    asked = world.ask(slow, path)
+    req = world.ask(slow, path)
     world.run(0.1)
-    # Where a peer tells what has changed, the new one is in force.
-    assert (asked.status, world.configuration_numbers()[-1]) == ((503, 1) if is_alone else (200, 2))
+    # If there is a peer that sends the change, the new configuration is in force.
+    assert (req.status, world.configuration_numbers()[-1]) == ((503, 1) if is_alone else (200, 2))
 
 
-def test_a_change_costs_the_others_what_changed():
-    """Each read the whole from the store again: 0.8 MB, and 1.3 s of its callers' link."""
+def test_other_routers_receive_only_the_changes():
+    """Each router read the whole configuration again: 0.8 MB, and 1.3 s of its callers' link."""
     world = LimitedLinkWorld()
     world.publish(1, LARGE_ROUTES)
     world.add_limited_router("r0", FAST_LINK)
     world.add_limited_router("r1", SLOW_LINK)
     world.run(5.0)
     read_bytes = world.links["r1"].received_bytes
-    told_bytes = world.network.bytes
+    sent_bytes = world.network.bytes
     world.publish(2, LARGE_ROUTES)
     assert world.in_force_s(2) < 0.5
     assert world.links["r1"].received_bytes - read_bytes < 1000
-    assert world.network.bytes - told_bytes < 10_000
-    asked = [world.ask(world.routers["r1"], path) for path in ("/n2/x", "/p00007/x", "/n1/x")]
+    assert world.network.bytes - sent_bytes < 10_000
+    requests = [world.ask(world.routers["r1"], path) for path in ("/n2/x", "/p00007/x", "/n1/x")]
     world.run(0.1)
-    assert [each.status for each in asked] == [200, 200, 404]
+    assert [each.status for each in requests] == [200, 200, 404]
--- a/umberhitch/platform/tests/test_pages.py
+++ b/umberhitch/platform/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages of a router: readiness, status and metrics, as they come over the wire."""
+"""Pages of a router over HTTP: readiness, status and metrics."""
 
 from msgspec import json
 from twisted.internet.task import Clock
@@ -33,7 +33,7 @@
     assert get(ready, "/other").startswith(b"HTTP/1.1 404")
 
 
-def test_what_is_held_is_shown_and_let_go():
+def test_held_requests_are_shown_and_can_be_released():
     fleet = CrashingFleet(routers=1, reply=Reply(events=8))
     fleet.every(0.4, 2.0, lambda n: fleet.ask(n, "/draft/x"))
     fleet.world.run(3.0)
@@ -46,18 +46,18 @@
     assert b"umberhitch_requests_held 0\n" in get(pages, "/metrics")
 
 
-def test_what_endpoints_say_is_one_table_and_one_metric_by_kind():
+def test_endpoint_signals_have_one_table_and_one_metric_per_kind():
     world = DirectWorld()
     names = ("left", "rest", "rate", "cold")
     for name in names:
         world.add_endpoint(name, cold_s=30.0 if name == "cold" else 0.0)
     gateway = world.ready_router().gateway
-    said = {
+    signals_by_endpoint = {
         "left": HeadSignals(is_draining=True),
         "rest": HeadSignals(backoff_s=30.0),
         "rate": HeadSignals(limit=Rate(2.0), unknown=((b"server-mood", b"low"),)),
     }
-    for name, signals in said.items():
+    for name, signals in signals_by_endpoint.items():
         gateway.gate.apply_head(name, ReplyHead(503, not_run=True, signals=signals))
     pages = GatewayPages(gateway, dict)
     status = json.decode(get(pages, "/status").partition(b"\r\n\r\n")[2])
--- a/umberhitch/platform/tests/test_register.py
+++ b/umberhitch/platform/tests/test_register.py
@@ -1,4 +1,4 @@
-"""The register of the platform's words holds what the adapter reads and sets, and nothing else."""
+"""The register holds exactly the headers and fields that the adapter reads and sets."""
 
 import re
 from pathlib import Path
@@ -8,10 +8,10 @@
 
 FOLDER = Path(umberhitch.platform.__file__).parent
 HEADER = re.compile(r'b"([a-zA-Z]+(?:-[a-zA-Z]+)*)"')
-NO_HEADERS = {"get", "head", "bearer", "post", "application"}
-"""Words in bytes that are no names of headers: methods, the scheme of keys."""
-ELSEWHERE = {"keep-alive", "connection", "transfer-encoding", "expect"}
-"""Read by the client's parser or dropped with all that concerns one connection."""
+NOT_HEADERS = {"get", "head", "bearer", "post", "application"}
+"""Byte strings that are not header names: methods, the authorization scheme and a content type."""
+HANDLED_ELSEWHERE = {"keep-alive", "connection", "transfer-encoding", "expect"}
+"""Handled by the HTTP parser, or dropped as hop-by-hop headers."""
 FIELD = re.compile(r"^    ([a-z_]+): ", re.MULTILINE)
 
 
@@ -21,7 +21,7 @@
 
 def _in_code() -> set[str]:
     code = (FOLDER / "_headers.py").read_text()
-    return {name.lower() for name in HEADER.findall(code)} - NO_HEADERS
+    return {name.lower() for name in HEADER.findall(code)} - NOT_HEADERS
 
 
 def test_each_header_in_the_adapter_is_in_the_register():
@@ -29,15 +29,15 @@
 
 
 def test_each_header_that_is_read_or_set_is_in_the_adapter():
-    assert _names("headers", "read", "set") - _in_code() - ELSEWHERE == set()
+    assert _names("headers", "read", "set") - _in_code() - HANDLED_ELSEWHERE == set()
 
 
-def test_no_header_stands_twice_for_one_direction():
+def test_no_header_is_listed_twice_for_one_direction():
     named = [(each.name.lower(), each.where) for each in REGISTER["headers"]]
     assert len(named) == len(set(named))
 
 
-def test_each_field_that_is_decoded_is_in_the_register_and_each_registered_one_is_decoded():
+def test_the_decoded_fields_are_those_of_the_register():
     code = (FOLDER / "_documents.py").read_text()
     structs = code[code.index("class _Split") : code.index("_config = ")]
     decoded = {name.replace("_", "") for name in FIELD.findall(structs)}
@@ -46,5 +46,5 @@
     assert used - decoded == set()
 
 
-def test_what_is_left_aside_has_a_reason():
+def test_each_entry_has_a_reason():
     assert all(each.why for kind in REGISTER.values() for each in kind)
--- a/umberhitch/platform/tests/test_words.py
+++ b/umberhitch/platform/tests/test_words.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in the adapter and nowhere else in the package."""
+"""The platform's names are used in the adapter and nowhere else in the package."""
 
 import re
 from pathlib import Path
@@ -13,7 +13,7 @@
 )
 
 
-def test_no_name_of_the_platform_stands_outside_the_adapter():
+def test_no_name_of_the_platform_is_used_outside_the_adapter():
     root = Path(umberhitch.__file__).parent
     found = [
         f"{path.relative_to(root)}:{number}"
--- a/umberhitch/soak/_mutations.py
+++ b/umberhitch/soak/_mutations.py
@@ -92,7 +92,7 @@
     """Endpoints that name a limit get what others get."""
     from umberhitch.tasks.direct.send_gate import SendGate
 
-    SendGate._bears_limit = lambda self, endpoint, kept, now_s: True  # type: ignore[method-assign]
+    SendGate._limit_ok = lambda self, endpoint, reserved, now_s: True  # type: ignore[method-assign]
 
 
 def _ignore_words() -> None:
--- a/umberhitch/tasks/agent.py
+++ b/umberhitch/tasks/agent.py
@@ -1,8 +1,8 @@
-"""The agent: the only way in to its endpoint.
+"""The agent, through which all calls reach its endpoint.
 
-It checks permission, version and state by its own configuration, keeps the ledger of attempts and
-the buffer of answers, queues by priority, holds usage records until they are in the log, and
-drains.
+An agent checks permission, version and state against its own configuration, keeps the ledger of
+attempts and the buffer of answers, queues by priority, and holds usage records until they are in
+the log. While it drains, it refuses new work and finishes the rest.
 """
 
 from collections.abc import Callable
@@ -63,19 +63,19 @@
 log = getLogger(__name__)
 
 HEARTBEAT_SLACK_S = 0.05
-"""A heartbeat that is due this soon goes with the present round."""
+"""Heartbeats due within this many seconds are sent in the current round."""
 QUEUE_RETRY_AFTER_S = 1.0
 MIN_SHARE = 0.01
-"""A customer with a share of 0 gets this, so that it is not shut out for ever."""
+"""Minimum queue share of a customer; a share of 0 would starve it."""
 DRAINING_RETRY_AFTER_S = 0.2
 
 
 @dataclass(slots=True)
-class _Router:
+class _RouterRecord:
     incarnation: int
-    heard_s: float
-    beat_s: float
-    told_s: float = -1.0e9
+    last_hello_s: float
+    heartbeat_interval_s: float
+    last_heartbeat_s: float = -1.0e9
 
 
 class Agent:
@@ -86,7 +86,7 @@
     settings : AgentSettings
     clock : Clock
     wall_s : callable
-        Returns seconds since the epoch; used only for the expiry of sessions.
+        Returns seconds since the epoch; used only for the expiry of session tokens.
     link : LinkPort
     backend : BackendPort
     """
@@ -109,12 +109,12 @@
         self._ledger = Ledger(settings.ledger)
         self._queue = WorkQueue()
         self._running: dict[AttemptId, AttemptEntry] = {}
-        self._routers: dict[str, _Router] = {}
+        self._routers: dict[str, _RouterRecord] = {}
         self._watchers: dict[AttemptId, set[str]] = {}
-        self._loading = TargetLoader(
-            backend, clock, settings.targets, settings.fencing_warm_up_s, self._on_targets
+        self._loader = TargetLoader(
+            backend, clock, settings.targets, settings.fencing_warm_up_s, self._targets_changed
         )
-        self._parked: list[tuple[str, Start, float]] = []
+        self._awaiting_config: list[tuple[str, Start, float]] = []
         self._usage = UnconfirmedUsage()
         self._drained: Deferred[None] | None = None
         self._is_stopped = False
@@ -122,20 +122,20 @@
     # Life cycle
 
     def start(self) -> None:
-        """Listen to routers and send heartbeats."""
+        """Start to receive messages and to send heartbeats."""
         self._link.listen(self.receive)
         self._tick()
 
     def stop(self) -> None:
-        """Do nothing more, as a lost process would."""
+        """Stop all activity without draining, as if the process had exited."""
         self._is_stopped = True
 
     def drain(self) -> Deferred[None]:
-        """Refuse new work; the result comes when running work and its usage records are done."""
+        """Refuse new work; the Deferred fires once attempts are done and usage is confirmed."""
         self.state = EndpointState.DRAINING
         if self._drained is None:
             self._drained = Deferred()
-            self._beat()
+            self._send_heartbeats()
             self._check_drained()
         return self._drained
 
@@ -147,37 +147,42 @@
     def _tick(self) -> None:
         if self._is_stopped:
             return
-        self._beat(is_news=False)
-        self._expire_parked()
+        self._send_heartbeats(is_change=False)
+        self._expire_awaiting_config()
         self._expire_running()
         self._hand_over_usage()
         self._clock.callLater(self.settings.heartbeat_interval_s, self._tick)
 
-    def _beat(self, is_news: bool = True) -> None:
-        """Tell the routers how things stand: news at once, else at the pace that each asks for."""
+    def _send_heartbeats(self, is_change: bool = True) -> None:
+        """Send heartbeats, at once after a change or at the interval that each router asks for."""
         now = self._clock.seconds()
-        beat = self.make_heartbeat()
+        heartbeat = self.make_heartbeat()
         for name, router in list(self._routers.items()):
-            if now - router.heard_s > self.settings.router_timeout_s * max(1.0, router.beat_s):
+            if now - router.last_hello_s > self.settings.router_timeout_s * max(
+                1.0, router.heartbeat_interval_s
+            ):
                 del self._routers[name]
-            elif is_news or now - router.told_s >= router.beat_s - HEARTBEAT_SLACK_S:
-                router.told_s = now
-                self._link.send(name, beat)
+            elif (
+                is_change
+                or now - router.last_heartbeat_s >= router.heartbeat_interval_s - HEARTBEAT_SLACK_S
+            ):
+                router.last_heartbeat_s = now
+                self._link.send(name, heartbeat)
 
     def make_heartbeat(self) -> Heartbeat:
-        """Return the heartbeat as of now."""
+        """Return a heartbeat with the current state."""
         cfg = self.settings
         return Heartbeat(
             cfg.endpoint,
             cfg.incarnation,
             cfg.zone,
-            [] if self._loading.is_loading else list(self.targets),
+            [] if self._loader.is_loading else list(self.targets),
             self.state,
             self.revision,
             len(self._running),
             len(self._queue),
             cfg.slots,
-            self._loading.is_loading,
+            self._loader.is_loading,
             self._count_urgent(),
         )
 
@@ -199,17 +204,17 @@
 
     @property
     def unconfirmed_usage(self) -> int:
-        """Usage records not yet known to be in the log."""
+        """Number of usage records not yet known to be in the log."""
         return len(self._usage)
 
     def holds_usage(self, request: str) -> bool:
-        """Whether the usage record of a request is held here."""
+        """Whether the agent holds the usage record of a request."""
         return request in self._usage
 
     # Messages
 
     def receive(self, sender: str, messages: list[Message]) -> None:
-        """Handle what a router sent."""
+        """Handle messages from a router."""
         if self._is_stopped:
             return
         for message in messages:
@@ -230,9 +235,9 @@
             case ConfigSnapshot():
                 self._on_snapshot(message)
             case UsageConfirmation():
-                self._on_billed(message)
+                self._on_usage_confirmation(message)
             case LoadOrder():
-                self._on_order(sender, message)
+                self._on_load_order(sender, message)
             case Withdrawal():
                 self._config.withdraw_version(message)
                 self._recheck_queue()
@@ -244,9 +249,11 @@
         if known is not None and hello.incarnation < known.incarnation:
             return
         now = self._clock.seconds()
-        self._loading.fence.observe(hello.token)
-        router = self._routers[sender] = _Router(hello.incarnation, now, hello.heartbeat_interval_s)
-        router.told_s = now if known is None else known.told_s
+        self._loader.fence.observe(hello.token)
+        router = self._routers[sender] = _RouterRecord(
+            hello.incarnation, now, hello.heartbeat_interval_s
+        )
+        router.last_heartbeat_s = now if known is None else known.last_heartbeat_s
         if known is None or known.incarnation != hello.incarnation:
             self._link.send(sender, self.make_heartbeat())
         if hello.revision > self.revision:
@@ -265,10 +272,10 @@
             self._config_changed()
 
     def _config_changed(self) -> None:
-        parked, self._parked = self._parked, []
-        for sender, start, until_s in parked:
+        waiting, self._awaiting_config = self._awaiting_config, []
+        for sender, start, until_s in waiting:
             if start.revision > self.revision:
-                self._parked.append((sender, start, until_s))
+                self._awaiting_config.append((sender, start, until_s))
             else:
                 self._admit(sender, start)
         self._recheck_queue()
@@ -281,19 +288,19 @@
                     self._queue.remove(entry)
                     self._finish(entry, Refused(entry.attempt, reason))
 
-    def _expire_parked(self) -> None:
+    def _expire_awaiting_config(self) -> None:
         now = self._clock.seconds()
-        parked, self._parked = self._parked, []
-        for sender, start, until_s in parked:
+        waiting, self._awaiting_config = self._awaiting_config, []
+        for sender, start, until_s in waiting:
             if until_s > now:
-                self._parked.append((sender, start, until_s))
+                self._awaiting_config.append((sender, start, until_s))
             else:
                 self._refuse_start(sender, start, Reason.STALE_CONFIG)
 
     def _expire_running(self) -> None:
-        """End what an engine neither finishes nor gives up long after its deadline.
+        """Cancel attempts that run past their deadline; end those that the engine does not stop.
 
-        The router has given up on it by then; what is left to save is the slot.
+        Their routers have timed out by then; ending them frees the slots of an engine that hangs.
         """
         now = self._clock.seconds()
         grace_s = self.settings.overdue_grace_s
@@ -312,20 +319,20 @@
             return
         known = self._ledger.get(start.attempt)
         if known is None and start.revision > self.revision:
-            self._park(sender, start)
+            self._await_config(sender, start)
             return
         self._admit(sender, start)
 
-    def _park(self, sender: str, start: Start) -> None:
+    def _await_config(self, sender: str, start: Start) -> None:
         self._link.send(sender, ConfigRequest(self.revision))
-        if any(parked.attempt == start.attempt for _, parked, _ in self._parked):
+        if any(waiting.attempt == start.attempt for _, waiting, _ in self._awaiting_config):
             return
         until_s = self._clock.seconds() + self.settings.config_wait_s
-        self._parked.append((sender, start, until_s))
+        self._awaiting_config.append((sender, start, until_s))
 
     def _admit(self, sender: str, start: Start) -> None:
-        due_s = self._clock.seconds() + start.deadline_s
-        match self._ledger.admit(start, due_s):
+        deadline_s = self._clock.seconds() + start.deadline_s
+        match self._ledger.admit(start, deadline_s):
             case Inserted(entry=entry):
                 self._watchers[entry.attempt] = {sender}
                 reason = self._admission_refusal(start)
@@ -333,10 +340,10 @@
                     self._finish(entry, Refused(entry.attempt, reason, _retry_after(reason)))
                     return
                 self._link.send(sender, AttemptAccepted(entry.attempt))
-                place = self._queue.position_for(start.priority, start.customer)
-                owner = self.config.customers.get(start.customer)
-                share = max(MIN_SHARE, owner.limits.share if owner is not None else 1.0)
-                self._queue.push(place, entry, start.customer, share)
+                position = self._queue.position_for(start.priority, start.customer)
+                customer = self.config.customers.get(start.customer)
+                share = max(MIN_SHARE, customer.limits.share if customer is not None else 1.0)
+                self._queue.push(position, entry, start.customer, share)
                 self._fill_slots()
             case Existing(entry=entry):
                 self._link.send(sender, entry.result or AttemptAccepted(entry.attempt))
@@ -348,21 +355,22 @@
     def _admission_refusal(self, start: Start) -> Reason | None:
         if self.state is EndpointState.DRAINING:
             return Reason.LEAVING
-        if start.target not in self.targets or self._loading.is_loading:
+        if start.target not in self.targets or self._loader.is_loading:
             return Reason.NO_ENDPOINT
         reason = self._config.refusal(start)
         if reason is not None:
             return reason
         if len(self._usage) + self._ledger.live_count > self.settings.max_usage_records:
             return Reason.USAGE_FULL
-        if len(self._queue) >= self.settings.queue and not self._give_way(start):
+        if len(self._queue) >= self.settings.queue and not self._preempt_last(start):
             return Reason.OVERLOADED
         return None
 
-    def _give_way(self, start: Start) -> bool:
-        """Refuse the attempt that would go last, if a new one would go before it.
+    def _preempt_last(self, start: Start) -> bool:
+        """Refuse the last queued attempt if a new one would be queued ahead of it.
 
-        That is the least urgent one, and among equals one of the customer with the most in wait.
+        The last one has the least urgent priority and, among equals, belongs to the customer with
+        the most queued work. Return whether an attempt was refused.
         """
         last = self._queue.last()
         if last is None or self._queue.position_for(start.priority, start.customer) >= last[0]:
@@ -373,7 +381,7 @@
         return True
 
     def _refuse_start(self, sender: str, start: Start, reason: Reason) -> None:
-        """Refuse an attempt that is not in the ledger, and keep the refusal there."""
+        """Refuse an attempt that is not in the ledger, and record the refusal in the ledger."""
         match self._ledger.tombstone(start.attempt):
             case Inserted(entry=entry):
                 entry.result = Refused(start.attempt, reason, _retry_after(reason))
@@ -425,7 +433,7 @@
         match event:
             case BackendText(text=text):
                 offset = entry.add_text(text)
-                self._tell_watchers(entry, Chunk(entry.attempt, offset, text), offset > 0)
+                self._notify_watchers(entry, Chunk(entry.attempt, offset, text), offset > 0)
                 return
             case BackendDone(usage=usage, finish_reason=finish, status=status, headers=headers):
                 result: Finished | Failed | Refused = Finished(
@@ -441,13 +449,17 @@
                 self._hold_usage(entry, usage)
             case BackendRefused(reason=reason):
                 result = Refused(entry.attempt, Reason.BACKEND_REFUSED)
-                log.info("back end refused", extra={"attempt": str(entry.attempt), "why": reason})
+                log.info(
+                    "backend refused the call", extra={"attempt": str(entry.attempt), "why": reason}
+                )
             case BackendFailed(reason=reason):
                 result = Failed(entry.attempt, Reason.BACKEND_FAILED)
                 self.counters.failed += 1
-                log.info("back end failed", extra={"attempt": str(entry.attempt), "why": reason})
+                log.info(
+                    "backend call failed", extra={"attempt": str(entry.attempt), "why": reason}
+                )
         self._finish(entry, result)
-        self._loading.start_if_idle(len(self._running))
+        self._loader.start_if_idle(len(self._running))
         self._fill_slots()
 
     def _finish(self, entry: AttemptEntry, result: Finished | Failed | Refused) -> None:
@@ -455,22 +467,22 @@
         self._running.pop(entry.attempt, None)
         if isinstance(result, Refused):
             self._count_refusal(result.reason)
-        self._tell_watchers(entry, result)
+        self._notify_watchers(entry, result)
         self._watchers.pop(entry.attempt, None)
         self._check_drained()
 
-    def _tell_watchers(
-        self, entry: AttemptEntry, message: Message, is_patient: bool = False
+    def _notify_watchers(
+        self, entry: AttemptEntry, message: Message, is_deferrable: bool = False
     ) -> None:
         for watcher in self._watchers.get(entry.attempt, ()):
-            self._link.send(watcher, message, is_patient)
+            self._link.send(watcher, message, is_deferrable)
 
     def _on_cancel(self, sender: str, message: Cancel) -> None:
         attempt = message.attempt
         if message.agent_incarnation != self.settings.incarnation:
             self._link.send(sender, Failed(attempt, Reason.WRONG_INCARNATION))
             return
-        self._parked = [row for row in self._parked if row[1].attempt != attempt]
+        self._awaiting_config = [row for row in self._awaiting_config if row[1].attempt != attempt]
         match self._ledger.tombstone(attempt):
             case Inserted(entry=entry):
                 self._link.send(sender, entry.result or AttemptAccepted(attempt))
@@ -479,7 +491,7 @@
             case BelowFloor():
                 self._link.send(sender, Failed(attempt, Reason.EVICTED))
             case LedgerFull():
-                log.warning("ledger full, cancel ignored", extra={"attempt": str(attempt)})
+                log.warning("ledger is full; ignoring cancel", extra={"attempt": str(attempt)})
 
     def _cancel_known(self, sender: str, entry: AttemptEntry) -> None:
         self._watchers.setdefault(entry.attempt, set()).add(sender)
@@ -507,20 +519,20 @@
         else:
             self._watchers.setdefault(entry.attempt, set()).add(sender)
 
-    # Orders
+    # Load orders
 
-    def _on_order(self, sender: str, order: LoadOrder) -> None:
-        self._link.send(sender, self._loading.accept_order(order))
-        self._loading.start_if_idle(len(self._running))
+    def _on_load_order(self, sender: str, order: LoadOrder) -> None:
+        self._link.send(sender, self._loader.accept_order(order))
+        self._loader.start_if_idle(len(self._running))
 
-    def _on_targets(self) -> None:
+    def _targets_changed(self) -> None:
         if not self._is_stopped:
-            self._beat()
+            self._send_heartbeats()
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """What the endpoint serves now; orders change it."""
-        return self._loading.targets
+        """Targets that the endpoint serves, as changed by load orders."""
+        return self._loader.targets
 
     # Usage records
 
@@ -533,14 +545,14 @@
         )
         self._usage.add(record, self._clock.seconds())
 
-    def _on_billed(self, message: UsageConfirmation) -> None:
+    def _on_usage_confirmation(self, message: UsageConfirmation) -> None:
         self._usage.confirm(message.requests)
         self._check_drained()
 
     def _hand_over_usage(self) -> None:
-        """Offer overdue records to a router, another one at each turn."""
-        patience_s = 0.0 if self.state is EndpointState.DRAINING else self.settings.handover_delay_s
-        overdue = self._usage.overdue(self._clock.seconds(), patience_s)
+        """Send overdue usage records to a router, to a different one each time."""
+        min_age_s = 0.0 if self.state is EndpointState.DRAINING else self.settings.handover_delay_s
+        overdue = self._usage.overdue(self._clock.seconds(), min_age_s)
         router = self._usage.next_router(self._routers) if overdue else None
         if router is not None:
             self.counters.handovers += 1
--- a/umberhitch/tasks/agent_config.py
+++ b/umberhitch/tasks/agent_config.py
@@ -1,4 +1,4 @@
-"""The agent's copy of the configuration, and the permission that it gives."""
+"""The agent's copy of the configuration, and permission checks against it."""
 
 from collections.abc import Callable
 from logging import getLogger
@@ -19,18 +19,18 @@
 
 
 class AgentConfig:
-    """Owns the fold that routers feed.
+    """Builds the configuration from the records that routers send.
 
     Parameters
     ----------
     wall_s : callable
-        Returns seconds since the epoch; used only for the expiry of sessions.
+        Returns seconds since the epoch; used only for the expiry of session tokens.
     """
 
     def __init__(self, wall_s: Callable[[], float]) -> None:
         self._wall_s = wall_s
         self._catch_up = CatchUp(Fold())
-        self._stops = DirectWithdrawals()
+        self._withdrawals = DirectWithdrawals()
 
     @property
     def revision(self) -> int:
@@ -39,21 +39,21 @@
 
     @property
     def config(self) -> Config:
-        """The configuration at that revision."""
+        """Configuration at the current revision."""
         return self._catch_up.fold.config
 
     def is_contiguous(self, message: ConfigRecords) -> bool:
-        """Whether the records follow what is here, without a gap."""
+        """Whether the records continue from the current revision without a gap."""
         return message.previous <= self.revision
 
     def apply_records(self, message: ConfigRecords) -> bool:
-        """Apply records; returns whether the revision has grown."""
+        """Apply records and return whether the revision increased."""
         before = self.revision
         self._catch_up.take(message.records)
         return self.revision > before
 
     def apply_snapshot(self, message: ConfigSnapshot) -> bool:
-        """Load a snapshot, if it is newer; returns whether the revision has grown."""
+        """Load a snapshot if it is newer, and return whether the revision increased."""
         try:
             record = decode_record(message.data)
         except (ValidationError, DecodeError) as exc:
@@ -65,12 +65,12 @@
         return True
 
     def withdraw_version(self, message: Withdrawal) -> None:
-        """Give a version no more work, ahead of the record in the log."""
-        self._stops.add(message, self._catch_up.fold)
+        """Refuse new work for a version before its withdrawal is read from the log."""
+        self._withdrawals.add(message, self._catch_up.fold)
 
     def refusal(self, start: Start) -> Reason | None:
-        """Return why an attempt must not run, or None if it may."""
-        if self._stops.is_withdrawn(start.target, self._catch_up.fold):
+        """Return the reason to refuse an attempt, or None if it may run."""
+        if self._withdrawals.is_withdrawn(start.target, self._catch_up.fold):
             return Reason.WITHDRAWN
         session: Session | None = None
         if start.session:
--- a/umberhitch/tasks/agent_settings.py
+++ b/umberhitch/tasks/agent_settings.py
@@ -1,4 +1,4 @@
-"""What an agent is told about itself, and what it counts."""
+"""Settings and counters of an agent."""
 
 from dataclasses import dataclass, field
 
@@ -9,36 +9,43 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AgentSettings:
-    """What an agent is told about itself."""
+    """Settings of an agent."""
 
     endpoint: str
     incarnation: int
     zone: str
     targets: tuple[str, ...]
-    """What its endpoint serves: ``model@version`` names, or the name of a service."""
+    """Targets of the endpoint: ``model@version`` names, or the name of a service."""
     slots: int = 8
-    """Calls given to the endpoint at once."""
+    """Maximum number of concurrent calls at the endpoint."""
     queue: int = 64
-    """Attempts that may wait for a slot."""
+    """Maximum number of attempts waiting for a slot."""
     heartbeat_interval_s: float = 1.0
     router_timeout_s: float = 5.0
-    """A router not heard for this long gets no more heartbeats."""
+    """Heartbeats to a router stop this many seconds after its last hello.
+
+    If the heartbeat interval that the router asked for is longer than a second, the timeout is
+    this number of intervals.
+    """
     config_wait_s: float = 1.0
-    """How long an attempt waits for a configuration that the router has and the agent lacks."""
+    """Seconds for which an attempt waits for a configuration newer than the agent's."""
     handover_delay_s: float = 10.0
-    """How long a usage record waits for its router before others are asked to write it."""
+    """Seconds until an unconfirmed usage record is handed over to another router."""
     overdue_grace_s: float = 5.0
-    """How long past its deadline a running attempt is left to the engine, and again after that."""
+    """Seconds after its deadline at which a running attempt is cancelled at the engine.
+
+    After another such period the attempt is ended and its slot freed.
+    """
     fencing_warm_up_s: float = 3.0
-    """How long a new agent listens for fencing tokens before it carries out orders."""
+    """Seconds for which a new agent learns fencing tokens before it accepts load orders."""
     max_usage_records: int = 2000
-    """Unconfirmed usage records held; beyond this, new work is refused."""
+    """Maximum number of unconfirmed usage records; above it, new work is refused."""
     ledger: LedgerLimits = LedgerLimits()
 
 
 @dataclass(slots=True)
 class AgentCounters:
-    """Counts since the start, for metrics and tests."""
+    """Counts since the start of the agent, for metrics and tests."""
 
     started: int = 0
     finished: int = 0
--- a/umberhitch/tasks/appender.py
+++ b/umberhitch/tasks/appender.py
@@ -1,7 +1,7 @@
-"""Group commit: many small records, one append at a time, each record kept until it is in the log.
+"""Group commit: appends small records in batches, one batch at a time, until they are in the log.
 
-A batch whose answer was lost is appended again; readers recognise the repeat by the records' own
-ids.
+A batch whose acknowledgement was lost is resent. The log may thus contain a record twice;
+readers recognise duplicates by the records' own identifiers.
 """
 
 from collections import deque
@@ -21,15 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AppenderLimits:
-    """Bounds and pace of an appender."""
+    """Limits on the batches, the queue and the retries of an appender."""
 
     interval_s: float = 0.02
-    """How long the first record of a batch waits for company."""
+    """Seconds that the first record of a batch waits for further records."""
     max_batch: int = 500
+    """Records per append."""
     max_pending: int = 20_000
-    """Records held while the log is away; more are refused."""
+    """Records queued while the log is unavailable; further records are refused."""
     base_retry_s: float = 0.1
     max_retry_s: float = 5.0
+    """Limit of the delay before a retry, which doubles from `base_retry_s` at each failure."""
 
 
 @dataclass(slots=True)
@@ -39,7 +41,7 @@
 
 
 class Appender:
-    """Owns the records of one stream that are not yet known to be in the log.
+    """Queues the records of one stream until they are known to be in the log.
 
     Parameters
     ----------
@@ -47,7 +49,7 @@
     stream : str
     clock : Clock
     rng : Random
-        Spreads the retries of many routers.
+        Adds jitter to the retries, so that many routers do not retry at the same time.
     limits : AppenderLimits
     """
 
@@ -65,42 +67,42 @@
         self._rng = rng
         self._limits = limits or AppenderLimits()
         self.interval_s = self._limits.interval_s
-        """How long the first record of a batch waits; stretched as routers grow in number."""
-        self._waiting: deque[_Entry] = deque()
+        """Seconds that the first record of a batch waits; grows with the number of routers."""
+        self._queued: deque[_Entry] = deque()
         self._sending: list[_Entry] = []
         self._timer: Timer | None = None
         self._retry_s = self._limits.base_retry_s
         self.failures = 0
-        """Consecutive failed appends."""
+        """Number of consecutive failed appends."""
         self.appends = 0
-        """Successful appends so far."""
+        """Number of successful appends."""
 
     @property
     def pending(self) -> int:
-        """Records that are not known to be in the log."""
-        return len(self._waiting) + len(self._sending)
+        """Number of records that are not known to be in the log."""
+        return len(self._queued) + len(self._sending)
 
     @property
     def is_full(self) -> bool:
-        """Whether `add` would refuse."""
+        """Whether the queue is full, so that `add` refuses further records."""
         return self.pending >= self._limits.max_pending
 
     def limit_append_rate(self, routers: int, appends_per_s: float) -> None:
-        """Stretch the interval so that all routers together stay under a rate of appends."""
+        """Lengthen the interval so that all routers together stay within a rate of appends."""
         self.interval_s = max(self._limits.interval_s, routers / appends_per_s)
 
     def add(self, data: bytes) -> Deferred[int]:
-        """Queue a record; the result is its offset once it is in the log.
+        """Queue a record; the Deferred fires with its offset once the record is in the log.
 
         Raises
         ------
         AppenderFullError
-            If the queue is full; nothing was queued.
+            If the queue is full. The record was not queued.
         """
         if self.is_full:
-            raise AppenderFullError(f"{self.pending} records wait for stream {self._stream}")
+            raise AppenderFullError(f"{self.pending} records are queued for stream {self._stream}")
         entry = _Entry(data)
-        self._waiting.append(entry)
+        self._queued.append(entry)
         self._schedule(self.interval_s)
         return entry.done
 
@@ -110,8 +112,8 @@
 
     def _flush(self) -> None:
         self._timer = None
-        while self._waiting and len(self._sending) < self._limits.max_batch:
-            self._sending.append(self._waiting.popleft())
+        while self._queued and len(self._sending) < self._limits.max_batch:
+            self._sending.append(self._queued.popleft())
         if self._sending:
             ensureDeferred(self._append())
 
@@ -124,10 +126,10 @@
         self.appends += 1
         self.failures = 0
         self._retry_s = self._limits.base_retry_s
-        sent, self._sending = self._sending, []
-        if self._waiting:
-            self._schedule(0.0 if len(self._waiting) >= self._limits.max_batch else self.interval_s)
-        for index, entry in enumerate(sent):
+        written, self._sending = self._sending, []
+        if self._queued:
+            self._schedule(0.0 if len(self._queued) >= self._limits.max_batch else self.interval_s)
+        for index, entry in enumerate(written):
             entry.done.callback(first + index)
 
     def _back_off(self, exc: LogError) -> None:
--- a/umberhitch/tasks/attempts.py
+++ b/umberhitch/tasks/attempts.py
@@ -1,4 +1,8 @@
-"""The router's side of attempts: sent until taken, repaired while they run, ended exactly once."""
+"""Router side of attempts.
+
+A start is resent until the agent accepts or refuses it, lost messages of a running attempt are
+fetched, and each attempt ends exactly once.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -29,28 +33,32 @@
 log = getLogger(__name__)
 
 TextSink = Callable[[str], None]
-"""Receives each new piece of an answer, in order."""
+"""Receives the text of an answer piece by piece, in order."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTiming:
-    """Timing of the repair of lost messages."""
+    """Intervals and timeouts for detecting and repairing lost messages."""
 
     check_interval_s: float = 0.1
     resend_interval_s: float = 0.3
     accept_timeout_s: float = 1.5
-    """Without any reply for this long, the attempt is cancelled."""
+    """Seconds without acceptance after which the attempt is cancelled."""
     cancel_timeout_s: float = 1.5
-    """Without a reply to the cancel for this long, the outcome is unknown."""
+    """Seconds without a reply to a cancel after which the outcome is unknown."""
     gap_fetch_s: float = 0.1
+    """Seconds without a message after which missing text of an answer is fetched."""
     idle_fetch_s: float = 2.0
-    """A running attempt that is quiet for this long is asked where it stands."""
+    """Seconds without a message after which a running attempt is fetched.
+
+    A repeatable attempt is then ended if its agent sends no heartbeats either.
+    """
     deadline_margin_s: float = 0.3
-    """The cancel goes out this long before the caller's deadline."""
+    """Seconds before the caller's deadline at which the attempt is cancelled."""
 
 
 class AttemptPhase(StrEnum):
-    """Where an attempt stands, as its router sees it."""
+    """Phase of an attempt at its router."""
 
     SENT = "sent"
     ACCEPTED = "taken"
@@ -60,14 +68,22 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """One attempt that this router watches.
+    """An attempt whose outcome this router waits for.
 
     Attributes
     ----------
     start : Start or None
-        What was sent; None when the attempt is another router's and is only fetched.
+        Message that started the attempt; None if another router started it.
+    deadline_s : float
+        Time on the router's clock at which the outcome becomes unknown.
+    last_reply_s : float
+        Time of the last message from the agent.
+    last_request_s : float
+        Time at which a start, cancel or fetch was last sent.
+    cancelled_s : float
+        Time at which the first cancel was sent.
     waiters : list of Deferred
-        Each fires once, with the attempt's `Outcome`; see `Attempts.outcome_of`.
+        Deferreds that fire with the outcome; see `Attempts.outcome_of`.
     """
 
     attempt: AttemptId
@@ -91,7 +107,7 @@
 
 
 class Attempts:
-    """Owns the open attempts of one router incarnation.
+    """Sends the attempts of one router incarnation and tracks them to their outcomes.
 
     Parameters
     ----------
@@ -100,7 +116,7 @@
     clock : Clock
     link : LinkPort
     fleet : Fleet
-    pace : AttemptTiming
+    timing : AttemptTiming
     """
 
     def __init__(
@@ -117,20 +133,20 @@
         self._clock = clock
         self._link = link
         self._fleet = fleet
-        self._pace = timing or AttemptTiming()
+        self._timing = timing or AttemptTiming()
         self._seq = 0
-        self._open: dict[AttemptId, OpenAttempt] = {}
+        self._open_attempts: dict[AttemptId, OpenAttempt] = {}
         self._is_stopped = False
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._open_attempts)
 
     def start(self) -> None:
-        """Begin to repair and time out attempts."""
-        self._tick()
+        """Start the periodic check for lost messages and timeouts."""
+        self._check_all()
 
     def stop(self) -> None:
-        """Do nothing more, as a lost process would."""
+        """Stop the periodic check without ending attempts, as if the process had exited."""
         self._is_stopped = True
 
     def next_id(self) -> AttemptId:
@@ -138,18 +154,18 @@
         self._seq += 1
         return AttemptId(self._router, self._incarnation, self._seq)
 
-    def outcome_of(self, watch: OpenAttempt) -> Deferred[Outcome]:
+    def outcome_of(self, open_attempt: OpenAttempt) -> Deferred[Outcome]:
         """Return a Deferred that fires with the outcome of an open attempt."""
         waiter: Deferred[Outcome] = Deferred()
-        watch.waiters.append(waiter)
+        open_attempt.waiters.append(waiter)
         return waiter
 
-    # Beginning and ending
+    # Start and end
 
     def run(self, start: Start, endpoint: str, is_repeatable: bool, sink: TextSink) -> OpenAttempt:
-        """Send an attempt to its agent and watch it."""
+        """Send an attempt to its agent and track it."""
         now = self._clock.seconds()
-        watch = OpenAttempt(
+        open_attempt = OpenAttempt(
             start.attempt,
             endpoint,
             start.agent_incarnation,
@@ -163,29 +179,29 @@
             last_reply_s=now,
             last_request_s=now,
         )
-        self._open[start.attempt] = watch
+        self._open_attempts[start.attempt] = open_attempt
         known = self._fleet.get(endpoint)
         if known is not None:
             known.note_attempt_started(start.priority <= URGENT_PRIORITY)
         self._link.send(endpoint, start)
-        return watch
+        return open_attempt
 
     def fetch(
         self, attempt: AttemptId, endpoint: Endpoint, customer: str, wait_s: float
     ) -> OpenAttempt:
-        """Watch an attempt that may be another router's, or is watched here already."""
-        known = self._open.get(attempt)
+        """Fetch the answer of an attempt, which may have been started by another router."""
+        known = self._open_attempts.get(attempt)
         if known is not None:
             return known
-        watch = self._watch_foreign(attempt, endpoint, customer, wait_s)
+        open_attempt = self._add_remote(attempt, endpoint, customer, wait_s)
         self._link.send(endpoint.name, Fetch(attempt, 0, customer))
-        return watch
+        return open_attempt
 
-    def _watch_foreign(
+    def _add_remote(
         self, attempt: AttemptId, endpoint: Endpoint, customer: str, wait_s: float
     ) -> OpenAttempt:
         now = self._clock.seconds()
-        watch = OpenAttempt(
+        open_attempt = OpenAttempt(
             attempt,
             endpoint.name,
             endpoint.incarnation,
@@ -200,170 +216,186 @@
             last_request_s=now,
         )
         endpoint.note_attempt_started(False)
-        self._open[attempt] = watch
-        return watch
+        self._open_attempts[attempt] = open_attempt
+        return open_attempt
 
-    def cancel(self, watch: OpenAttempt, reason: Reason = Reason.CANCELLED) -> None:
-        """Ask the agent to refuse or stop the attempt; its outcome still comes by ``ended``."""
-        if watch.phase in (AttemptPhase.CANCELLING, AttemptPhase.ENDED):
+    def cancel(self, open_attempt: OpenAttempt, reason: Reason = Reason.CANCELLED) -> None:
+        """Ask the agent to refuse or stop the attempt; its outcome is still reported to waiters."""
+        if open_attempt.phase in (AttemptPhase.CANCELLING, AttemptPhase.ENDED):
             return
-        watch.phase = AttemptPhase.CANCELLING
-        watch.cancel_reason = reason
-        watch.cancelled_s = self._clock.seconds()
-        self._send_cancel(watch)
+        open_attempt.phase = AttemptPhase.CANCELLING
+        open_attempt.cancel_reason = reason
+        open_attempt.cancelled_s = self._clock.seconds()
+        self._send_cancel(open_attempt)
 
     def settle_orphaned(
         self, attempt: AttemptId, endpoint: Endpoint, agent_incarnation: int, customer: str
     ) -> OpenAttempt:
-        """Find out what became of a lost router's attempt; if it has not begun, it never will.
+        """Determine the outcome of a lost router's attempt, and cancel it if it has not started.
 
-        The answer is fetched only once the agent has said that there is one: a fetch that came
-        first could not tell an attempt that never arrived from one that was forgotten.
+        A cancel is sent instead of a fetch, because the reply to a fetch does not distinguish an
+        attempt that never arrived from one that the agent evicted. The answer is fetched only after
+        the agent has reported that the attempt finished.
         """
-        known = self._open.get(attempt)
+        known = self._open_attempts.get(attempt)
         if known is not None:
             return known
-        wait_s = self._pace.cancel_timeout_s * 2
-        watch = self._watch_foreign(attempt, endpoint, customer, wait_s)
-        watch.agent_incarnation = agent_incarnation
-        self.cancel(watch)
-        return watch
-
-    def _send_cancel(self, watch: OpenAttempt) -> None:
-        watch.last_request_s = self._clock.seconds()
-        self._link.send(watch.endpoint, Cancel(watch.attempt, watch.agent_incarnation))
-
-    def _end(self, watch: OpenAttempt, outcome: Outcome) -> None:
-        if watch.phase is AttemptPhase.ENDED:
+        wait_s = self._timing.cancel_timeout_s * 2
+        open_attempt = self._add_remote(attempt, endpoint, customer, wait_s)
+        open_attempt.agent_incarnation = agent_incarnation
+        self.cancel(open_attempt)
+        return open_attempt
+
+    def _send_cancel(self, open_attempt: OpenAttempt) -> None:
+        open_attempt.last_request_s = self._clock.seconds()
+        self._link.send(
+            open_attempt.endpoint, Cancel(open_attempt.attempt, open_attempt.agent_incarnation)
+        )
+
+    def _end(self, open_attempt: OpenAttempt, outcome: Outcome) -> None:
+        if open_attempt.phase is AttemptPhase.ENDED:
             return
-        watch.phase = AttemptPhase.ENDED
-        self._open.pop(watch.attempt, None)
-        known = self._fleet.get(watch.endpoint)
+        open_attempt.phase = AttemptPhase.ENDED
+        self._open_attempts.pop(open_attempt.attempt, None)
+        known = self._fleet.get(open_attempt.endpoint)
         if known is not None:
-            is_urgent = watch.start is not None and watch.start.priority <= URGENT_PRIORITY
+            is_urgent = (
+                open_attempt.start is not None and open_attempt.start.priority <= URGENT_PRIORITY
+            )
             known.note_attempt_finished(is_urgent)
-        for waiter in watch.waiters:
+        for waiter in open_attempt.waiters:
             waiter.callback(outcome)
 
     # Messages
 
     def handle(self, message: AttemptAccepted | Chunk | Finished | Refused | Failed) -> None:
-        """Handle what an agent says of an attempt."""
-        watch = self._open.get(message.attempt)
-        if watch is None:
+        """Handle a message from an agent about an attempt."""
+        open_attempt = self._open_attempts.get(message.attempt)
+        if open_attempt is None:
             return
-        watch.last_reply_s = self._clock.seconds()
+        open_attempt.last_reply_s = self._clock.seconds()
         match message:
             case Chunk(offset=offset, text=text):
-                self._on_text(watch, offset, text)
+                self._on_text(open_attempt, offset, text)
             case AttemptAccepted():
-                if watch.phase is AttemptPhase.SENT:
-                    watch.phase = AttemptPhase.ACCEPTED
+                if open_attempt.phase is AttemptPhase.SENT:
+                    open_attempt.phase = AttemptPhase.ACCEPTED
             case Finished():
-                self._on_finished(watch, message)
+                self._on_finished(open_attempt, message)
             case Refused(reason=reason, retry_after_s=retry_after_s):
                 if reason == Reason.CANCELLED:
-                    reason = watch.cancel_reason
-                self._end(watch, NotRun(Reason(reason), retry_after_s=retry_after_s))
+                    reason = open_attempt.cancel_reason
+                self._end(open_attempt, NotRun(Reason(reason), retry_after_s=retry_after_s))
             case Failed(reason=reason):
-                self._end(watch, Unknown(Reason(reason)))
+                self._end(open_attempt, Unknown(Reason(reason)))
 
-    def _on_text(self, watch: OpenAttempt, offset: int, text: str) -> None:
-        if watch.phase is AttemptPhase.SENT:
-            watch.phase = AttemptPhase.ACCEPTED
-        new = watch.answer.add(offset, text)
+    def _on_text(self, open_attempt: OpenAttempt, offset: int, text: str) -> None:
+        if open_attempt.phase is AttemptPhase.SENT:
+            open_attempt.phase = AttemptPhase.ACCEPTED
+        new = open_attempt.answer.add(offset, text)
         if new:
-            watch.sink(new)
-        if watch.finished is not None:
-            self._end_if_whole(watch)
+            open_attempt.sink(new)
+        if open_attempt.finished is not None:
+            self._end_if_complete(open_attempt)
 
-    def _on_finished(self, watch: OpenAttempt, message: Finished) -> None:
-        watch.finished = message
+    def _on_finished(self, open_attempt: OpenAttempt, message: Finished) -> None:
+        open_attempt.finished = message
         try:
-            watch.answer.finish(message.length)
+            open_attempt.answer.finish(message.length)
         except AnswerConflictError as exc:
-            log.error("answer conflict", extra={"attempt": str(watch.attempt), "error": str(exc)})
-            self._end(watch, Unknown(Reason.BACKEND_FAILED, str(exc)))
+            log.error(
+                "answer conflict", extra={"attempt": str(open_attempt.attempt), "error": str(exc)}
+            )
+            self._end(open_attempt, Unknown(Reason.BACKEND_FAILED, str(exc)))
             return
-        self._end_if_whole(watch)
-        if watch.phase is not AttemptPhase.ENDED:
-            self._ask(watch)
+        self._end_if_complete(open_attempt)
+        if open_attempt.phase is not AttemptPhase.ENDED:
+            self._send_fetch(open_attempt)
 
-    def _end_if_whole(self, watch: OpenAttempt) -> None:
-        last = watch.finished
-        if last is None or not watch.answer.is_complete:
+    def _end_if_complete(self, open_attempt: OpenAttempt) -> None:
+        last = open_attempt.finished
+        if last is None or not open_attempt.answer.is_complete:
             return
         done = Done(
-            watch.answer.text(),
+            open_attempt.answer.text(),
             last.usage,
             last.target,
-            watch.endpoint,
+            open_attempt.endpoint,
             last.finish_reason,
             last.status,
             tuple(last.headers.items()),
         )
-        self._end(watch, done)
+        self._end(open_attempt, done)
 
     def handle_agent_replaced(self, endpoint: str, incarnation: int) -> None:
-        """End what ran at earlier incarnations of an endpoint's agent: its outcome is unknown."""
-        for watch in list(self._open.values()):
-            if watch.endpoint == endpoint and watch.agent_incarnation < incarnation:
-                self._end(watch, Unknown(Reason.AGENT_LOST))
+        """End the attempts at earlier incarnations of an agent with an unknown outcome."""
+        for open_attempt in list(self._open_attempts.values()):
+            if open_attempt.endpoint == endpoint and open_attempt.agent_incarnation < incarnation:
+                self._end(open_attempt, Unknown(Reason.AGENT_LOST))
 
     # Time
 
-    def _tick(self) -> None:
+    def _check_all(self) -> None:
         if self._is_stopped:
             return
         now = self._clock.seconds()
-        for watch in list(self._open.values()):
-            self._check(watch, now)
-        self._clock.callLater(self._pace.check_interval_s, self._tick)
-
-    def _check(self, watch: OpenAttempt, now: float) -> None:
-        pace = self._pace
-        if now >= watch.deadline_s:
-            self._end(watch, Unknown(Reason.DEADLINE))
+        for open_attempt in list(self._open_attempts.values()):
+            self._check(open_attempt, now)
+        self._clock.callLater(self._timing.check_interval_s, self._check_all)
+
+    def _check(self, open_attempt: OpenAttempt, now: float) -> None:
+        timing = self._timing
+        if now >= open_attempt.deadline_s:
+            self._end(open_attempt, Unknown(Reason.DEADLINE))
             return
-        match watch.phase:
+        match open_attempt.phase:
             case AttemptPhase.SENT:
-                self._check_sent(watch, now)
+                self._check_sent(open_attempt, now)
             case AttemptPhase.ACCEPTED:
-                self._check_taken(watch, now)
+                self._check_accepted(open_attempt, now)
             case AttemptPhase.CANCELLING:
-                if now - watch.cancelled_s >= pace.cancel_timeout_s:
-                    self._end(watch, Unknown(Reason.NO_ANSWER))
-                elif now - watch.last_request_s >= pace.resend_interval_s:
-                    self._send_cancel(watch)
-        if watch.phase in (AttemptPhase.SENT, AttemptPhase.ACCEPTED) and self._is_nearly_due(
-            watch, now
+                if now - open_attempt.cancelled_s >= timing.cancel_timeout_s:
+                    self._end(open_attempt, Unknown(Reason.NO_ANSWER))
+                elif now - open_attempt.last_request_s >= timing.resend_interval_s:
+                    self._send_cancel(open_attempt)
+        if open_attempt.phase in (
+            AttemptPhase.SENT,
+            AttemptPhase.ACCEPTED,
+        ) and self._is_near_deadline(open_attempt, now):
+            self.cancel(open_attempt, Reason.DEADLINE)
+
+    def _is_near_deadline(self, open_attempt: OpenAttempt, now: float) -> bool:
+        margin_s = min(
+            self._timing.deadline_margin_s, 0.1 * (open_attempt.deadline_s - open_attempt.sent_s)
+        )
+        return open_attempt.start is not None and now >= open_attempt.deadline_s - margin_s
+
+    def _check_sent(self, open_attempt: OpenAttempt, now: float) -> None:
+        if now - open_attempt.sent_s >= self._timing.accept_timeout_s:
+            self.cancel(open_attempt, Reason.NO_ANSWER)
+        elif (
+            now - open_attempt.last_request_s >= self._timing.resend_interval_s
+            and open_attempt.start is not None
         ):
-            self.cancel(watch, Reason.DEADLINE)
-
-    def _is_nearly_due(self, watch: OpenAttempt, now: float) -> bool:
-        margin_s = min(self._pace.deadline_margin_s, 0.1 * (watch.deadline_s - watch.sent_s))
-        return watch.start is not None and now >= watch.deadline_s - margin_s
-
-    def _check_sent(self, watch: OpenAttempt, now: float) -> None:
-        if now - watch.sent_s >= self._pace.accept_timeout_s:
-            self.cancel(watch, Reason.NO_ANSWER)
-        elif now - watch.last_request_s >= self._pace.resend_interval_s and watch.start is not None:
-            watch.last_request_s = now
-            self._link.send(watch.endpoint, watch.start)
-
-    def _check_taken(self, watch: OpenAttempt, now: float) -> None:
-        pace = self._pace
-        has_gap = watch.answer.has_gap
-        wait_s = pace.gap_fetch_s if has_gap else pace.idle_fetch_s
-        if now - watch.last_reply_s >= wait_s and now - watch.last_request_s >= max(
-            wait_s, pace.resend_interval_s
+            open_attempt.last_request_s = now
+            self._link.send(open_attempt.endpoint, open_attempt.start)
+
+    def _check_accepted(self, open_attempt: OpenAttempt, now: float) -> None:
+        timing = self._timing
+        has_gap = open_attempt.answer.has_gap
+        wait_s = timing.gap_fetch_s if has_gap else timing.idle_fetch_s
+        if now - open_attempt.last_reply_s >= wait_s and now - open_attempt.last_request_s >= max(
+            wait_s, timing.resend_interval_s
         ):
-            self._ask(watch)
-        if watch.is_repeatable and now - watch.last_reply_s >= pace.idle_fetch_s:
-            endpoint = self._fleet.get(watch.endpoint)
+            self._send_fetch(open_attempt)
+        if open_attempt.is_repeatable and now - open_attempt.last_reply_s >= timing.idle_fetch_s:
+            endpoint = self._fleet.get(open_attempt.endpoint)
             if endpoint is None or self._fleet.is_silent(endpoint):
-                self._end(watch, Unknown(Reason.AGENT_LOST))
+                self._end(open_attempt, Unknown(Reason.AGENT_LOST))
 
-    def _ask(self, watch: OpenAttempt) -> None:
-        watch.last_request_s = self._clock.seconds()
-        self._link.send(watch.endpoint, Fetch(watch.attempt, watch.answer.length, watch.customer))
+    def _send_fetch(self, open_attempt: OpenAttempt) -> None:
+        open_attempt.last_request_s = self._clock.seconds()
+        self._link.send(
+            open_attempt.endpoint,
+            Fetch(open_attempt.attempt, open_attempt.answer.length, open_attempt.customer),
+        )
--- a/umberhitch/tasks/burn.py
+++ b/umberhitch/tasks/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn at a router: counted here, gathered from the peers when someone asks."""
+"""Burn rates of the service-level objectives: counted per router, merged over peers on request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 __all__ = ["BurnContext", "BurnReport", "BurnTask"]
 
 GATHER_TIMEOUT_S = 1.0
-"""How long peers are waited for."""
+"""Seconds that a report waits for the replies of the peers."""
 
 CALLER_ERROR_REASONS = frozenset(
     {
@@ -23,19 +23,19 @@
         Reason.SESSION_ENDED,
     }
 )
-"""Refusals that spend no error budget."""
+"""Reasons of refusals that the caller caused; they use none of the error budget."""
 
 
 class BurnReport:
-    """The burn over all routers that answered.
+    """Burn rates over all routers that replied.
 
     Attributes
     ----------
     rows : list of BurnRow
     routers : list of str
-        Whose counts are in it.
+        Names of the routers whose counts are included.
     missing : list of str
-        Live routers that did not answer in time.
+        Names of live routers that did not reply in time.
     """
 
     def __init__(self, rows: list[BurnRow], routers: list[str], missing: list[str]) -> None:
@@ -46,17 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnContext:
-    """What the report needs of its router.
+    """What a `BurnTask` needs from its router.
 
     Attributes
     ----------
     name : str
+        Name of the router.
     peers : callable
-        Returns the names of the routers that were heard lately.
+        Returns the names of the live peers.
     send : callable
-        Sends a message to one of them.
+        Sends a message to a peer.
     objectives : callable
-        Returns by class the share of requests that are to be good, and their latency in seconds.
+        Returns the objective of each request class: the share of good requests, and the latency in
+        seconds within which a request is good.
     """
 
     name: str
@@ -66,69 +68,70 @@
 
 
 class BurnTask:
-    """Owns one router's book.
+    """Counts the requests of one router and answers reports.
 
     Parameters
     ----------
-    host : BurnContext
+    context : BurnContext
     clock : Clock
     wall_s : callable
+        Returns seconds since the epoch.
     has_latencies : bool
-        Whether latencies are kept besides the counts.
+        Whether latency histograms are kept in addition to the counts.
     """
 
     def __init__(
         self,
-        host: BurnContext,
+        context: BurnContext,
         clock: Clock,
         wall_s: Callable[[], float],
         has_latencies: bool = True,
     ) -> None:
-        self._host = host
+        self._context = context
         self._clock = clock
         self._wall_s = wall_s
         self._book = BurnCounter(has_latencies=has_latencies)
-        self._asks = 0
+        self._last_request_id = 0
         self._replies: dict[int, dict[str, list[BurnSlice]]] = {}
 
     def note_request_finished(
         self, customer: str, klass: str, outcome: Outcome, latency_s: float
     ) -> None:
-        """Count a request that has ended."""
+        """Count a finished request, unless the caller caused its refusal."""
         if isinstance(outcome, NotRun) and outcome.reason in CALLER_ERROR_REASONS:
             return
         self.count(customer, klass, isinstance(outcome, Done), latency_s)
 
     def count(self, customer: str, klass: str, is_done: bool, latency_s: float) -> None:
-        """Count a request that has ended; a class without an objective is not counted."""
-        known = self._host.objectives().get(klass)
-        if known is not None:
-            is_good = is_done and latency_s <= known[1]
+        """Count a finished request; requests of a class without an objective are not counted."""
+        objective = self._context.objectives().get(klass)
+        if objective is not None:
+            is_good = is_done and latency_s <= objective[1]
             self._book.count(self._wall_s(), customer, klass, is_good, latency_s)
 
     async def report(self) -> BurnReport:
-        """Gather the counts of all live routers and return the burn."""
-        self._asks += 1
-        ask = self._asks
-        self._replies[ask] = {}
-        peers = self._host.peers()
+        """Return the burn rates, with the counts gathered from all live routers."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        self._replies[request_id] = {}
+        peers = self._context.peers()
         for peer in peers:
-            self._host.send(peer, BurnRequest(ask))
+            self._context.send(peer, BurnRequest(request_id))
         if peers:
             await pause(self._clock, GATHER_TIMEOUT_S)
-        replies = self._replies.pop(ask)
-        own = self._host.name
+        replies = self._replies.pop(request_id)
+        own = self._context.name
         slices = self._book.slices() + [part for parts in replies.values() for part in parts]
-        rows = burn_rows(slices, self._host.objectives(), self._wall_s())
+        rows = burn_rows(slices, self._context.objectives(), self._wall_s())
         missing = sorted(set(peers) - set(replies))
         return BurnReport(rows, sorted([own, *replies]), missing)
 
-    def handle_request(self, sender: str, ask: BurnRequest) -> None:
-        """Send the book to a router that asks for it."""
-        self._host.send(sender, BurnReply(ask.request_id, self._book.slices()))
+    def handle_request(self, sender: str, request: BurnRequest) -> None:
+        """Send this router's counts to a router that requests them."""
+        self._context.send(sender, BurnReply(request.request_id, self._book.slices()))
 
     def handle_reply(self, sender: str, reply: BurnReply) -> None:
-        """Take a peer's book."""
+        """Store the counts that a peer sent, if the report still waits for them."""
         replies = self._replies.get(reply.request_id)
         if replies is not None:
             replies[sender] = reply.slices
--- a/umberhitch/tasks/claims.py
+++ b/umberhitch/tasks/claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys at a router: claims are appended in groups and decided by the fold."""
+"""Claims of idempotency keys, appended in batches to a log stream and decided by its fold."""
 
 from random import Random
 
@@ -23,14 +23,14 @@
 
 
 class Claims:
-    """Owns the router's fold of the claims stream.
+    """Maintains the router's fold of the claims stream, and appends to the stream.
 
     Parameters
     ----------
     port : LogPort
     clock : Clock
     rng : Random
-    pace : FollowerSettings
+    follower_settings : FollowerSettings
     limits : AppenderLimits
     """
 
@@ -39,50 +39,55 @@
         port: LogPort,
         clock: Clock,
         rng: Random,
-        pace: FollowerSettings | None = None,
+        follower_settings: FollowerSettings | None = None,
         limits: AppenderLimits | None = None,
     ) -> None:
         self.fold = ClaimFold()
         self.appender = Appender(port, CLAIMS_STREAM, clock, rng, limits)
         self.follower = Follower(
-            port, CLAIMS_STREAM, clock, lambda: self.fold.next_offset, self._on_batch, pace
+            port,
+            CLAIMS_STREAM,
+            clock,
+            lambda: self.fold.next_offset,
+            self._on_batch,
+            follower_settings,
         )
         self._clock = clock
         self._offset_waiters: list[tuple[int, Deferred[None]]] = []
         self._key_waiters: dict[str, list[Deferred[None]]] = {}
 
     def start(self) -> None:
-        """Follow the stream."""
+        """Start following the stream."""
         self.follower.start()
 
     def stop(self) -> None:
-        """Follow the stream no longer."""
+        """Stop following the stream."""
         self.follower.stop()
 
     @property
     def is_current(self) -> bool:
-        """Whether the fold was up to date at the service's last answer."""
+        """Whether the fold was up to date when the log service last replied."""
         return self.follower.is_current
 
     def holder(self, key: str) -> ClaimState | None:
-        """Return who holds a key, as far as this router has read."""
+        """Return the claim that holds a key, as far as this router has read the stream."""
         return self.fold.holder(key)
 
     async def claim(self, claim: Claim, wait_s: float) -> ClaimState | None:
-        """Append a claim and return who holds the key once the fold has read past it.
+        """Append a claim and return the claim that holds the key, once the fold has applied it.
 
-        Returns None if the log did not answer in time. The claim may then still take effect, so a
-        `Release` is queued behind it.
+        Returns None if the log did not reply in time. The claim may still take effect later, so a
+        `Release` is queued after it.
         """
         try:
             appended = self.appender.add(encode_claim_record(claim))
         except LogError:
             return None
-        offset = await self._within(appended, wait_s)
+        offset = await self._with_timeout(appended, wait_s)
         if offset is None:
             self._add(Release(claim.key, claim.request, claim.attempt))
             return None
-        if not await self._read_past(offset, wait_s):
+        if not await self._wait_for_offset(offset, wait_s):
             self._add(Release(claim.key, claim.request, claim.attempt))
             return None
         return self.fold.holder(claim.key)
@@ -92,7 +97,7 @@
         self._add(settle)
 
     def release(self, release: Release) -> None:
-        """Record that a claimed request certainly did not run."""
+        """Record that a claimed request certainly did not run, which frees the key."""
         self._add(release)
 
     def _add(self, record: Settle | Release) -> None:
@@ -102,33 +107,33 @@
             return
 
     async def wait_for_update(self, key: str, wait_s: float) -> None:
-        """Return when something was recorded of the key, or after ``wait_s``."""
+        """Wait until a record about the key is read, for at most ``wait_s`` seconds."""
         done: Deferred[None] = Deferred()
         self._key_waiters.setdefault(key, []).append(done)
-        await self._within(done, wait_s)
+        await self._with_timeout(done, wait_s)
         waiters = self._key_waiters.get(key)
         if waiters is not None and done in waiters:
             waiters.remove(done)
             if not waiters:
                 del self._key_waiters[key]
 
-    async def _read_past(self, offset: int, wait_s: float) -> bool:
+    async def _wait_for_offset(self, offset: int, wait_s: float) -> bool:
         if self.fold.next_offset > offset:
             return True
         done: Deferred[None] = Deferred()
         self._offset_waiters.append((offset, done))
-        await self._within(done, wait_s)
+        await self._with_timeout(done, wait_s)
         return self.fold.next_offset > offset
 
-    def _within(self, source: Deferred, wait_s: float) -> Deferred:
-        """Return a Deferred with the source's result, or None if that is not there in time."""
+    def _with_timeout(self, source: Deferred, wait_s: float) -> Deferred:
+        """Return a Deferred with the result of ``source``, or None if that is late or an error."""
         result: Deferred = Deferred()
-        timer = self._clock.callLater(wait_s, lambda: _fire(result, None))
+        timer = self._clock.callLater(wait_s, lambda: _fire_once(result, None))
 
         def forward(value: object) -> None:
             if timer.active():
                 timer.cancel()
-            _fire(result, value)
+            _fire_once(result, value)
 
         source.addCallbacks(forward, lambda failure: forward(None))
         return result
@@ -138,13 +143,13 @@
             record = self.fold.apply(offset, data)
             if record is not None:
                 for done in self._key_waiters.pop(record.key, []):
-                    _fire(done, None)
+                    _fire_once(done, None)
         ready = [row for row in self._offset_waiters if row[0] < self.fold.next_offset]
         self._offset_waiters = [row for row in self._offset_waiters if row not in ready]
         for _, done in ready:
-            _fire(done, None)
+            _fire_once(done, None)
 
 
-def _fire(done: Deferred, value: object) -> None:
+def _fire_once(done: Deferred, value: object) -> None:
     if not done.called:
         done.callback(value)
--- a/umberhitch/tasks/config_feed.py
+++ b/umberhitch/tasks/config_feed.py
@@ -1,4 +1,4 @@
-"""The router's copy of the configuration: followed from the log, fed to agents and peers."""
+"""The router's copy of the configuration: read from the log or a peer, sent to agents and peers."""
 
 from collections import deque
 from collections.abc import Callable
@@ -34,15 +34,16 @@
 
 CONFIG_STREAM = "config"
 MAX_RECENT_RECORDS = 1024
-"""Records kept for agents and peers that lag a little; others get a snapshot."""
+"""Records kept for agents and peers that lag by no more than this; others get a snapshot."""
 SNAPSHOT_INTERVAL_RECORDS = 500
-"""Records after which a snapshot is written back, well before retention takes the tail."""
+"""Records after which a snapshot is appended, well before the log's retention deletes them."""
 MAX_SNAPSHOT_DELAY_S = 10.0
-"""Routers wait a random time up to this, so that usually one of them writes it."""
+"""Limit in seconds of the random delay before a router writes a snapshot that is due, so that
+usually only one router writes it."""
 
 
 class ConfigSource(StrEnum):
-    """Where the newest configuration came from."""
+    """Source of the current configuration."""
 
     NONE = "none"
     LOG = "log"
@@ -50,7 +51,7 @@
 
 
 class ConfigFeed:
-    """Owns the router's fold.
+    """Maintains the router's fold of the configuration stream.
 
     Parameters
     ----------
@@ -58,8 +59,8 @@
     clock : Clock
     rng : Random
     on_change : callable
-        Called without arguments after the revision has grown.
-    pace : FollowerSettings
+        Called without arguments after the revision has increased.
+    follower_settings : FollowerSettings
     """
 
     def __init__(
@@ -68,31 +69,31 @@
         clock: Clock,
         rng: Random,
         on_change: Callable[[], None],
-        pace: FollowerSettings | None = None,
+        follower_settings: FollowerSettings | None = None,
     ) -> None:
         self._catch_up = CatchUp(Fold())
         self._recent: deque[tuple[int, bytes]] = deque(maxlen=MAX_RECENT_RECORDS)
         self._clock = clock
         self._rng = rng
         self._on_change = on_change
-        self._waiting: dict[str, list[Deferred[Verdict]]] = {}
+        self._submitters: dict[str, list[Deferred[Verdict]]] = {}
         self._last_snapshot = -1
         self._snapshot_due = False
-        self._encoded: tuple[int, bytes] = (-1, b"")
+        self._encoded_snapshot: tuple[int, bytes] = (-1, b"")
         self.source = ConfigSource.NONE
         self.appender = Appender(port, CONFIG_STREAM, clock, rng)
         self.follower = Follower(
-            port, CONFIG_STREAM, clock, self._next_offset, self._on_batch, pace
+            port, CONFIG_STREAM, clock, self._next_offset, self._on_batch, follower_settings
         )
 
     @property
     def fold(self) -> Fold:
-        """The state of the configuration stream."""
+        """State of the configuration stream."""
         return self._catch_up.fold
 
     @property
     def config(self) -> Config:
-        """The configuration at the current revision."""
+        """Configuration at the current revision."""
         return self._catch_up.fold.config
 
     @property
@@ -102,29 +103,29 @@
 
     @property
     def caught_up_s(self) -> float | None:
-        """When this router last knew that it had everything in the log."""
+        """Time at which this router had last applied the whole log; None if it never had."""
         return self.follower.caught_up_s
 
     @property
     def is_ready(self) -> bool:
-        """Whether there is a configuration to decide by."""
+        """Whether a configuration has been read or received."""
         return self.source is not ConfigSource.NONE
 
     def _next_offset(self) -> int:
         return self._catch_up.next_offset
 
     def start(self) -> None:
-        """Follow the log."""
+        """Start following the log."""
         self.follower.start()
 
     def stop(self) -> None:
-        """Follow the log no longer."""
+        """Stop following the log."""
         self.follower.stop()
 
     def submit(self, change: Change) -> Deferred[Verdict]:
-        """Append a change; the result is the fold's verdict on it.
+        """Append a change; the Deferred fires with the fold's verdict on it.
 
-        The same change may be submitted again after an error: its id makes it take effect once.
+        A change may be resubmitted after an error, since its id makes it take effect only once.
         """
         known = self.fold.verdicts.get(change.change_id)
         done: Deferred[Verdict] = Deferred()
@@ -135,22 +136,22 @@
             appended = self.appender.add(encode_record(change))
         except LogError as exc:
             return fail(exc)
-        self._waiting.setdefault(change.change_id, []).append(done)
+        self._submitters.setdefault(change.change_id, []).append(done)
         appended.addErrback(lambda failure: None)
         return done
 
     def _on_batch(self, batch: LogBatch) -> None:
-        self._take(batch.records, ConfigSource.LOG)
+        self._apply_records(batch.records, ConfigSource.LOG)
 
     def apply_peer_records(self, previous: int, records: list[tuple[int, bytes]]) -> bool:
-        """Apply records that a peer sent; returns whether they follow what is here."""
+        """Apply records that a peer sent; return whether they continue the current revision."""
         if previous > self.revision:
             return False
-        self._take(records, ConfigSource.PEER)
+        self._apply_records(records, ConfigSource.PEER)
         return True
 
     def apply_peer_snapshot(self, data: bytes) -> None:
-        """Load a snapshot that a peer sent, if it is newer than what is here."""
+        """Load a snapshot that a peer sent, if it is newer than the current revision."""
         try:
             record = decode_record(data)
         except (ValidationError, DecodeError) as exc:
@@ -160,9 +161,11 @@
             return
         self._recent.clear()
         verdicts = self._catch_up.load(record)
-        self._changed(verdicts, ConfigSource.PEER)
+        self._on_revision(verdicts, ConfigSource.PEER)
 
-    def _take(self, records: tuple[tuple[int, bytes], ...] | list, source: ConfigSource) -> None:
+    def _apply_records(
+        self, records: tuple[tuple[int, bytes], ...] | list, source: ConfigSource
+    ) -> None:
         before = self.revision
         verdicts = self._catch_up.take(records)
         if self.revision == before:
@@ -171,23 +174,23 @@
             return
         if self._recent and self._recent[-1][0] != before:
             self._recent.clear()
-        fresh = [rec for rec in records if before < rec[0] <= self.revision]
-        if fresh and fresh[0][0] == before + 1:
-            self._recent.extend(fresh)
+        new_records = [rec for rec in records if before < rec[0] <= self.revision]
+        if new_records and new_records[0][0] == before + 1:
+            self._recent.extend(new_records)
         else:
             self._recent.clear()
-        self._changed(verdicts, source)
+        self._on_revision(verdicts, source)
 
-    def _changed(self, verdicts: list[Verdict], source: ConfigSource) -> None:
+    def _on_revision(self, verdicts: list[Verdict], source: ConfigSource) -> None:
         self.source = source
         for verdict in verdicts:
-            self._report(verdict)
-        for change_id in [cid for cid in self._waiting if cid in self.fold.verdicts]:
-            self._answer(change_id, self.fold.verdicts[change_id])
-        self._consider_snapshot()
+            self._log_verdict(verdict)
+        for change_id in [cid for cid in self._submitters if cid in self.fold.verdicts]:
+            self._notify_submitters(change_id, self.fold.verdicts[change_id])
+        self._schedule_snapshot()
         self._on_change()
 
-    def _report(self, verdict: Verdict) -> None:
+    def _log_verdict(self, verdict: Verdict) -> None:
         match verdict:
             case Accepted(change_id=change_id, revision=revision):
                 log.info("change accepted", extra={"change": change_id, "revision": revision})
@@ -205,11 +208,11 @@
             case Ignored():
                 pass
 
-    def _answer(self, change_id: str, verdict: Verdict) -> None:
-        for done in self._waiting.pop(change_id, []):
+    def _notify_submitters(self, change_id: str, verdict: Verdict) -> None:
+        for done in self._submitters.pop(change_id, []):
             done.callback(verdict)
 
-    def _consider_snapshot(self) -> None:
+    def _schedule_snapshot(self) -> None:
         if self._snapshot_due or self.revision - self._last_snapshot < SNAPSHOT_INTERVAL_RECORDS:
             return
         self._snapshot_due = True
@@ -222,12 +225,12 @@
         self.appender.add(self.fold.encoded_snapshot()).addErrback(lambda failure: None)
 
     def updates_since(self, revision: int) -> Message | None:
-        """Return what takes a peer from its revision to the one here; None if it lacks nothing."""
+        """Return a message that updates a peer to this router's revision, or None."""
         if revision >= self.revision:
             return None
         if self._recent and self._recent[0][0] <= revision + 1:
             records = [rec for rec in self._recent if rec[0] > revision]
             return ConfigRecords(revision, records)
-        if self._encoded[0] != self.revision:
-            self._encoded = (self.revision, self.fold.encoded_snapshot())
-        return ConfigSnapshot(self._encoded[1])
+        if self._encoded_snapshot[0] != self.revision:
+            self._encoded_snapshot = (self.revision, self.fold.encoded_snapshot())
+        return ConfigSnapshot(self._encoded_snapshot[1])
--- a/umberhitch/tasks/direct/answer_judge.py
+++ b/umberhitch/tasks/direct/answer_judge.py
@@ -1,4 +1,4 @@
-"""Tells a request's router how each endpoint answered it: well, slowly, with a failure, or not."""
+"""Verdicts on the answers of endpoints to one request: good, slow, failed or not timed."""
 
 from umberhitch.core.direct import AnswerVerdict, Endpoint, InterTokenLatency
 from umberhitch.tasks.direct.services import AdmittedRequest, Services
@@ -7,60 +7,64 @@
 
 
 class AnswerJudge:
-    """Judges the calls of one request, one after the other.
+    """Judges the calls of one request in sequence.
 
     Parameters
     ----------
     services : Services
-    permit : AdmittedRequest
+    admitted : AdmittedRequest
     """
 
-    def __init__(self, services: Services, permit: AdmittedRequest) -> None:
+    def __init__(self, services: Services, admitted: AdmittedRequest) -> None:
         self._svc = services
-        self._permit = permit
+        self._admitted = admitted
         self._endpoint: Endpoint | None = None
         self._model: str | None = None
         self._sent_s = 0.0
-        self._pace = InterTokenLatency()
-        self._is_noted = False
+        self._event_latency = InterTokenLatency()
+        self._has_verdict = False
 
     def start_call(self, endpoint: Endpoint, model: str | None) -> None:
-        """Begin with a new call."""
+        """Start judging a new call."""
         self._endpoint, self._model = endpoint, model
         self._sent_s = self._svc.clock.seconds()
-        self._pace = InterTokenLatency()
-        self._is_noted = False
+        self._event_latency = InterTokenLatency()
+        self._has_verdict = False
 
     def record_events(self, count: int) -> None:
-        """Note that ``count`` events have come; judge the stream once its pace is known."""
-        self._pace.record_events(count, self._svc.clock.seconds())
-        self._judge(self._pace.inter_token_s(is_end=False), self._pace.first_event_s)
+        """Record that ``count`` events have arrived; judge the stream once its latency is known."""
+        self._event_latency.record_events(count, self._svc.clock.seconds())
+        self._judge(
+            self._event_latency.inter_token_s(is_end=False), self._event_latency.first_event_s
+        )
 
     def finish_stream(self) -> None:
-        """Judge a whole stream."""
-        self._judge(self._pace.inter_token_s(is_end=True), self._pace.first_event_s)
-        self._note(AnswerVerdict.UNPACED)
+        """Judge a complete stream."""
+        self._judge(
+            self._event_latency.inter_token_s(is_end=True), self._event_latency.first_event_s
+        )
+        self._record_verdict(AnswerVerdict.UNPACED)
 
     def finish_reply(self) -> None:
-        """Judge a whole plain reply by its time."""
+        """Judge a complete plain reply by its duration."""
         self._judge(self._svc.clock.seconds() - self._sent_s, self._sent_s)
 
     def record_failure(self) -> None:
-        """Note a failure by the endpoint's own word."""
-        self._note(AnswerVerdict.FAILED)
+        """Record a failure that the endpoint reports itself."""
+        self._record_verdict(AnswerVerdict.FAILED)
 
-    def _judge(self, pace_s: float | None, since_s: float) -> None:
-        if pace_s is None or self._is_noted:
+    def _judge(self, latency_s: float | None, since_s: float) -> None:
+        if latency_s is None or self._has_verdict:
             return
         assert self._endpoint is not None
         verdict = self._svc.judge_latency(
-            self._permit, self._endpoint, self._model, pace_s, since_s
+            self._admitted, self._endpoint, self._model, latency_s, since_s
         )
-        self._note(verdict)
+        self._record_verdict(verdict)
 
-    def _note(self, verdict: AnswerVerdict) -> None:
-        """Note how the endpoint answered: once a call, and once more if it fails after that."""
+    def _record_verdict(self, verdict: AnswerVerdict) -> None:
+        """Record the verdict on a call: only the first one, and a failure that follows it."""
         assert self._endpoint is not None
-        if not self._is_noted or verdict is AnswerVerdict.FAILED:
-            self._svc.record_verdict(self._permit, self._endpoint, verdict)
-        self._is_noted = True
+        if not self._has_verdict or verdict is AnswerVerdict.FAILED:
+            self._svc.record_verdict(self._admitted, self._endpoint, verdict)
+        self._has_verdict = True
--- a/umberhitch/tasks/direct/decision_log.py
+++ b/umberhitch/tasks/direct/decision_log.py
@@ -1,7 +1,7 @@
-"""One log line for each decision that touches a request, within a bound.
+"""Rate-limited log of the decisions about requests, one line each.
 
-Lines on what goes wrong have a budget of their own, so that a burst of good requests cannot crowd
-them out. What did not fit is counted and said with the next line that does.
+Lines about failures have a budget of their own, so that a burst of successful requests cannot use
+it up. Dropped lines are counted, and the next line that is written reports their number.
 """
 
 from dataclasses import dataclass
@@ -16,15 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionLimits:
-    """Lines a second; unused ones are kept for `burst_s`.
+    """Rate limits of the log, in lines per second.
 
     Attributes
     ----------
     routine : float
-        On what goes well.
+        Rate of lines about normal operation.
     failures : float
-        On what does not.
+        Rate of lines about failures.
     burst_s : float
+        Seconds for which unused lines are saved up.
     """
 
     routine: float = 60.0
@@ -32,29 +33,31 @@
     burst_s: float = 2.0
 
 
-class _Bucket:
+class _TokenBucket:
     """A token bucket."""
 
     def __init__(self, rate: float, burst_s: float) -> None:
         self._rate = rate
-        self._most = rate * burst_s
-        self._left = self._most
-        self._at_s: float | None = None
+        self._capacity = rate * burst_s
+        self._tokens = self._capacity
+        self._updated_s: float | None = None
         self.dropped = 0
 
     def take(self, now_s: float) -> bool:
-        if self._at_s is not None:
-            self._left = min(self._most, self._left + self._rate * (now_s - self._at_s))
-        self._at_s = now_s
-        if self._left < 1.0:
+        if self._updated_s is not None:
+            self._tokens = min(
+                self._capacity, self._tokens + self._rate * (now_s - self._updated_s)
+            )
+        self._updated_s = now_s
+        if self._tokens < 1.0:
             self.dropped += 1
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 class DecisionLog:
-    """Writes the lines of one router.
+    """Writes the decisions of one router to the log.
 
     Parameters
     ----------
@@ -65,8 +68,8 @@
     def __init__(self, clock: Clock, limits: DecisionLimits | None = None) -> None:
         limits = limits or DecisionLimits()
         self._clock = clock
-        self._routine = _Bucket(limits.routine, limits.burst_s)
-        self._failures = _Bucket(limits.failures, limits.burst_s)
+        self._routine = _TokenBucket(limits.routine, limits.burst_s)
+        self._failures = _TokenBucket(limits.failures, limits.burst_s)
 
     def write(self, message: str, request: str | None, is_failure: bool, **facts: object) -> None:
         """Write a line, or count it as dropped."""
--- a/umberhitch/tasks/direct/endpoint_selector.py
+++ b/umberhitch/tasks/direct/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Chooses model and endpoint for each call of a request."""
+"""Selection of the model and the endpoint for each call of a request."""
 
 from random import Random
 
@@ -27,13 +27,14 @@
 
 NO_ENDPOINT = "no endpoint"
 NO_QUOTA = "endpoints take no more"
-"""Reasons why there is nowhere to send a call: none takes work, or each has had its share."""
+"""Reasons for finding no endpoint: none accepts work, or all have used up their limits."""
 RETRY_OBJECTIVES = 0.2
-"""Time to come back while the endpoints bear no more, in objectives: an answer is in time then."""
+"""Retry time while no endpoint accepts a call, as a fraction of the route's latency objective: a
+retry after that time can still be answered in time."""
 
 
 class EndpointSelector:
-    """Brings together what the store told, what is under way, and the decisions of the core.
+    """Selects models and endpoints by the stored state, the running calls and the core policies.
 
     Parameters
     ----------
@@ -44,7 +45,7 @@
     cascade : Cascade
     demand : EngineDemand
     gate : SendGate
-    worth : AnswerValueLimits
+    answer_value : AnswerValueLimits
     clock : Clock
     rng : Random
     """
@@ -58,7 +59,7 @@
         cascade: Cascade,
         demand: EngineDemand,
         gate: SendGate,
-        worth: AnswerValueLimits,
+        answer_value: AnswerValueLimits,
         clock: Clock,
         rng: Random,
     ) -> None:
@@ -70,113 +71,132 @@
         self._demand = demand
         self._gate = gate
         self.failure_reason = NO_ENDPOINT
-        """Why the last choice found no endpoint."""
-        self._worth = worth
+        """Why the last selection found no endpoint."""
+        self._answer_value_limits = answer_value
         self._clock = clock
         self._rng = rng
 
-    def first_model(self, permit: AdmittedRequest) -> str | None:
-        """Return the model to begin with; the request counts as demand from now on."""
-        if permit.request.prompt:
-            self._demand.record_request(permit.service, self._stake(permit), self._clock.seconds())
-        return self._cascade.first_model(permit.route, permit.request)
+    def first_model(self, admitted: AdmittedRequest) -> str | None:
+        """Return the model of the first call, and count the request as demand from now on."""
+        if admitted.request.prompt:
+            self._demand.record_request(
+                admitted.service, self._answer_value(admitted), self._clock.seconds()
+            )
+        return self._cascade.first_model(admitted.route, admitted.request)
 
     def larger_model(
-        self, permit: AdmittedRequest, model: str, confidence: int | None, waited_s: float
+        self, admitted: AdmittedRequest, model: str, confidence: int | None, waited_s: float
     ) -> str | None:
-        """Return the model to ask instead, or None to keep the answer."""
-        if not permit.request.picks_model:
+        """Return the larger model to call instead, or None to keep the answer."""
+        if not admitted.request.picks_model:
             return None
-        if self._budget.remaining(permit.service, self._clock.seconds()) < 1.0:
+        if self._budget.remaining(admitted.service, self._clock.seconds()) < 1.0:
             return None
-        chosen = self.select_endpoint(permit, permit.route.models[-1], set())
-        if chosen is None:
+        candidate = self.select_endpoint(admitted, admitted.route.models[-1], set())
+        if candidate is None:
             return None
-        service = self.service(permit)
+        service = self.service(admitted)
         prices = service.prices if service is not None else {}
-        stake = self._stake(permit)
+        answer_value = self._answer_value(admitted)
         return self._cascade.next_model(
-            permit.route, permit.request, stake, model, confidence, prices, waited_s, chosen
+            admitted.route,
+            admitted.request,
+            answer_value,
+            model,
+            confidence,
+            prices,
+            waited_s,
+            candidate,
         )
 
-    def _stake(self, permit: AdmittedRequest) -> AnswerValue:
-        return make_answer_value(permit.route, permit.request, self._worth)
+    def _answer_value(self, admitted: AdmittedRequest) -> AnswerValue:
+        return make_answer_value(admitted.route, admitted.request, self._answer_value_limits)
 
-    def service(self, permit: AdmittedRequest) -> Service | None:
-        """Return what the configuration says of a request's service."""
+    def service(self, admitted: AdmittedRequest) -> Service | None:
+        """Return the configuration of a request's service, or None if it has none."""
         assert self._view.table is not None
-        return self._view.table.document.services.get(permit.service)
+        return self._view.table.document.services.get(admitted.service)
 
-    def _bearing(self, permit: AdmittedRequest, found: list[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints that bear one more call of this router."""
-        service = self.service(permit)
+    def _with_quota(self, admitted: AdmittedRequest, endpoints: list[Endpoint]) -> list[Endpoint]:
+        """Return the endpoints whose limits allow one more call from this router."""
+        service = self.service(admitted)
         if not self._gate.has_bounds(service):
-            return found
-        return self._gate.with_quota(service, found, self._urgency(permit))
+            return endpoints
+        return self._gate.with_quota(service, endpoints, self._urgency(admitted))
 
-    def _urgency(self, permit: AdmittedRequest) -> Urgency:
-        priority, customer = permit.route.priority, permit.customer
+    def _urgency(self, admitted: AdmittedRequest) -> Urgency:
+        priority, customer = admitted.route.priority, admitted.customer
         if customer is not None and customer.priority is not None:
             priority = customer.priority
-        return priority, -self._stake(permit).value
+        return priority, -self._answer_value(admitted).value
 
-    def retry_after_s(self, permit: AdmittedRequest) -> float:
-        """Return when a request for which there was no endpoint should come again.
+    def retry_after_s(self, admitted: AdmittedRequest) -> float:
+        """Return after how many seconds a request without an endpoint should be retried.
 
-        Where the service has none at all, as late as callers honour: nothing tells when one comes.
-        Else some are cold, failing, resting or limited, which passes, and other routers may have
-        their share left.
+        If the service has no endpoint at all, the time is the longest that callers honor, since
+        nothing tells when one will start. Otherwise some endpoints are cold, failing, backing off
+        or limited, which is temporary, and other routers may have quota left.
         """
         now_s = self._clock.seconds()
-        left_s = permit.received_s + permit.request.patience_s - now_s
+        left_s = admitted.received_s + admitted.request.patience_s - now_s
         directory = self._view.directory
-        if not directory.ready(permit.service, now_s):
+        if not directory.ready(admitted.service, now_s):
             return max(MIN_RETRY_AFTER_S, HONORED_SHARE * left_s)
-        soonest_s = max(MIN_RETRY_AFTER_S, RETRY_OBJECTIVES * permit.route.objective_s)
-        listed = directory.listed(permit.service)
-        urgency = self._urgency(permit)
-        return self._gate.retry_after_s(permit.service, listed, urgency, soonest_s, left_s)
-
-    def _open(self, permit: AdmittedRequest, home: Endpoint | None) -> list[Endpoint]:
-        """Return endpoints that take new work, among them the home of the prompt if it does."""
+        min_retry_s = max(MIN_RETRY_AFTER_S, RETRY_OBJECTIVES * admitted.route.objective_s)
+        listed = directory.listed(admitted.service)
+        urgency = self._urgency(admitted)
+        return self._gate.retry_after_s(admitted.service, listed, urgency, min_retry_s, left_s)
+
+    def _open_endpoints(
+        self, admitted: AdmittedRequest, affinity_endpoint: Endpoint | None
+    ) -> list[Endpoint]:
+        """Return endpoints that accept new work, including the affinity endpoint if it does."""
         now_s = self._clock.seconds()
         is_open = self._gate.open_filter()
-        ready = self._view.directory.ready(permit.service, now_s, self._rng, is_open)
-        if home is None or home in ready or not home.accepts_work(now_s):
+        ready = self._view.directory.ready(admitted.service, now_s, self._rng, is_open)
+        if (
+            affinity_endpoint is None
+            or affinity_endpoint in ready
+            or not affinity_endpoint.accepts_work(now_s)
+        ):
             return ready
-        return [*ready, home] if is_open is None or is_open(home) else ready
+        return (
+            [*ready, affinity_endpoint] if is_open is None or is_open(affinity_endpoint) else ready
+        )
 
-    def _home(self, permit: AdmittedRequest) -> Endpoint | None:
-        prompt = permit.request.prompt
+    def _affinity_endpoint(self, admitted: AdmittedRequest) -> Endpoint | None:
+        prompt = admitted.request.prompt
         if len(prompt) < 2:
             return None
-        return self._view.directory.affinity_endpoint(permit.service, prompt[-2].part_id)
+        return self._view.directory.affinity_endpoint(admitted.service, prompt[-2].part_id)
 
     def select_endpoint(
-        self, permit: AdmittedRequest, model: str | None, tried: set[str]
+        self, admitted: AdmittedRequest, model: str | None, tried: set[str]
     ) -> Candidate | None:
-        """Return where a call goes, or None where no endpoint takes work."""
+        """Return the candidate for the next call, or None if no endpoint accepts it."""
         now_s = self._clock.seconds()
-        home = self._home(permit)
-        ready = self._open(permit, home)
-        fresh = [each for each in ready if each.lifetime not in tried]
-        bearing = self._bearing(permit, fresh)
-        is_used_up = bool(fresh) and not bearing
-        is_closed = not ready and bool(self._view.directory.ready(permit.service, now_s))
-        self.failure_reason = NO_QUOTA if is_used_up or is_closed else NO_ENDPOINT
-        is_light = permit.request.prompt_tokens < MAX_LIGHT_TOKENS
-        fresh = self._trials.allowed(permit.service, permit.wants_target, bearing, is_light)
-        if not fresh:
+        affinity_endpoint = self._affinity_endpoint(admitted)
+        ready = self._open_endpoints(admitted, affinity_endpoint)
+        eligible = [each for each in ready if each.lifetime not in tried]
+        within_quota = self._with_quota(admitted, eligible)
+        is_quota_used_up = bool(eligible) and not within_quota
+        is_closed = not ready and bool(self._view.directory.ready(admitted.service, now_s))
+        self.failure_reason = NO_QUOTA if is_quota_used_up or is_closed else NO_ENDPOINT
+        is_light = admitted.request.prompt_tokens < MAX_LIGHT_TOKENS
+        eligible = self._trials.allowed(
+            admitted.service, admitted.wants_target, within_quota, is_light
+        )
+        if not eligible:
             return None
-        if not permit.request.prompt:
-            return self._placement.choose_plain(fresh, now_s)
+        if not admitted.request.prompt:
+            return self._placement.choose_plain(eligible, now_s)
         work = EngineCall(
-            permit.request,
+            admitted.request,
             model or "",
-            permit.route.models,
-            self._stake(permit),
-            self._demand.price(permit.service, len(fresh), now_s),
-            home,
-            now_s - permit.received_s,
+            admitted.route.models,
+            self._answer_value(admitted),
+            self._demand.price(admitted.service, len(eligible), now_s),
+            affinity_endpoint,
+            now_s - admitted.received_s,
         )
-        return self._placement.choose_engine(fresh, work, now_s)
+        return self._placement.choose_engine(eligible, work, now_s)
--- a/umberhitch/tasks/direct/gateway.py
+++ b/umberhitch/tasks/direct/gateway.py
@@ -1,4 +1,4 @@
-"""The router of the direct path: admits requests, finds endpoints, and answers for the whole."""
+"""The router of the direct path, which connects admission, endpoint selection and proxying."""
 
 from collections.abc import Callable
 from logging import getLogger
@@ -54,11 +54,11 @@
 log = getLogger(__name__)
 
 OUTCOMES_OF_CALLER = ("caller left", REFUSED_BY_ENDPOINT)
-"""Outcomes that are the caller's own; the burn report leaves them out."""
+"""Outcomes that callers cause themselves; the burn report leaves them out."""
 
 
 class Gateway:
-    """One router incarnation on the direct path; is the `Services` of its exchanges.
+    """One router incarnation on the direct path; provides `Services` to its proxied requests.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
     wire : WirePort
     endpoints : EndpointPort
     operator_port, registry_port : FeedPort
-    trials : Trials
+    canary_controller : Trials
     """
 
     def __init__(
@@ -94,8 +94,8 @@
         self.decisions = DecisionLog(clock)
         self.running_requests: set[RequestState] = set()
         self.burn: BurnTask | None = None
-        """Where requests that have ended are counted against their routes' objectives."""
-        self._paces = TokenLatencies()
+        """Counts finished requests against the latency objectives of their routes."""
+        self._latencies = TokenLatencies()
         self._rng = rng
         self._wire = wire
         self.local_replies = LocalReplies(wire, self.decisions)
@@ -161,28 +161,28 @@
             self._begin,
         )
 
-    # Life
+    # Lifecycle
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start reading the store."""
         self.view.start()
 
     def stop(self) -> None:
-        """Do nothing more."""
+        """Stop reading the store and abort all running requests."""
         self.view.stop()
-        for exchange in list(self.running_requests):
-            exchange.abort()
+        for proxied in list(self.running_requests):
+            proxied.abort()
 
     def drain(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
-        """Fail the readiness page, and go on taking requests until the balancer has noticed.
+        """Fail the readiness check, and accept requests until the load balancer has noticed.
 
         Parameters
         ----------
         on_noticed : callable
-            Called then: no caller is sent here any more, and connections on which nothing is under
-            way may be closed. Streams that still come would not end in time, and are refused.
+            Called when the load balancer no longer sends callers here. Idle connections may be
+            closed from then on. New streams are refused, since they would not end in time.
         on_idle : callable
-            Called when after that every request that was read has its answer.
+            Called when, after that, every request that was read has been answered.
         """
         self.presence.drain(on_noticed, on_idle)
 
@@ -194,61 +194,61 @@
 
     @property
     def directory(self) -> Directory:
-        """The endpoints, as the registry has them."""
+        """Endpoints listed in the registry."""
         return self.view.directory
 
     @property
     def table(self) -> RouteTable | None:
-        """The configuration in force."""
+        """Routes of the active configuration; None before the first one is loaded."""
         return self.view.table
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers here."""
         return self.presence.is_ready
 
     # Requests
 
     def intake(self) -> IntakeLimits:
-        """Return the limits that are in force."""
+        """Return the limits on incoming requests."""
         return IntakeLimits() if self.table is None else self.table.document.intake
 
     def keeps_connections(self) -> bool:
-        """Whether connections are kept after an answer."""
+        """Whether connections are kept open after an answer."""
         return not self.presence.is_draining
 
     def refuse_unread(self, status: int, problem: str) -> tuple[HeaderList, bytes]:
-        """Return headers and body of an answer to a request that was not taken."""
+        """Return the headers and the body of a refusal of a request that was not read."""
         return self.local_replies.make_unread_reply(status, problem)
 
     def handle(self, raw: RawRequest, reply: CallerReply) -> Callable[[], None]:
-        """Begin to answer a request; returns what is to be called if the caller leaves."""
+        """Start answering a request; return the function to call if the caller disconnects."""
         self.counters.requests += 1
         return self._intake.handle(raw, reply)
 
     def _begin(
-        self, permit: AdmittedRequest, reply: CallerReply, is_probe: bool
+        self, admitted: AdmittedRequest, reply: CallerReply, is_probe: bool
     ) -> Callable[[], None]:
-        """Begin an exchange with endpoints."""
-        self.retry_budget.record_request(permit.service, permit.received_s)
-        exchange = ProxiedRequest(self, permit, reply, is_probe)
-        self.running_requests.add(exchange)
-        return exchange.start()
+        """Start proxying a request; return the function to call if the caller disconnects."""
+        self.retry_budget.record_request(admitted.service, admitted.received_s)
+        proxied = ProxiedRequest(self, admitted, reply, is_probe)
+        self.running_requests.add(proxied)
+        return proxied.start()
 
-    # Services of an exchange
+    # Services for proxied requests
 
     def send(
-        self, permit: AdmittedRequest, endpoint: Endpoint, model: str | None, call: RequestState
+        self, admitted: AdmittedRequest, endpoint: Endpoint, model: str | None, call: RequestState
     ) -> tuple[RunningCall, PlacedCall]:
-        """Send the request to an endpoint."""
+        """Send the request to an endpoint, and count the call as placed there."""
         self.counters.calls += 1
-        ask, route = permit.request, permit.route
-        service = self.selector.service(permit)
+        req, route = admitted.request, admitted.route
+        service = self.selector.service(admitted)
         now_s = self.clock.seconds()
         endpoint.note_call_sent(now_s)
         self.gate.record_sent(endpoint, service)
-        placed = self.placement.place(endpoint, ask, model or "", route.models, service, now_s)
-        customer = permit.customer
+        placed_call = self.placement.place(endpoint, req, model or "", route.models, service, now_s)
+        customer = admitted.customer
         priority = route.priority
         if customer is not None and customer.priority is not None:
             priority = customer.priority
@@ -257,42 +257,43 @@
             endpoint.entry.incarnation,
             None if customer is None else customer.name,
             model,
-            priority if ask.prompt else None,
+            priority if req.prompt else None,
             call.last_event,
         )
         request = EndpointCall(
-            ask.call_id,
-            ask.method,
-            ask.target,
-            self._wire.call_headers(ask, extras),
-            ask.body,
+            req.call_id,
+            req.method,
+            req.target,
+            self._wire.call_headers(req, extras),
+            req.body,
             is_non_repeatable=route.kind is RouteKind.NON_IDEMPOTENT,
         )
-        return self._endpoints.send(endpoint.entry.address, request, call), placed
+        return self._endpoints.send(endpoint.entry.address, request, call), placed_call
 
     def acquire_retry(self, service: str) -> bool:
-        """Take one repeat from the shared budget, if there is one."""
+        """Take one retry from the shared retry budget; return whether there was one."""
         return self.retry_budget.acquire(service, self.clock.seconds())
 
     def judge_latency(
         self,
-        permit: AdmittedRequest,
+        admitted: AdmittedRequest,
         endpoint: Endpoint,
         model: str | None,
         latency_s: float,
         since_s: float,
     ) -> AnswerVerdict:
-        """Take note of a pace measured from a time on, and return what it says of the answer.
+        """Record a latency measured from ``since_s`` on, and return the verdict on the answer.
 
-        It is judged by what is usual where a model of the same size reads meanwhile.
+        The latency is compared with the usual one of calls during which the endpoint processed
+        prompts for a model of the same size.
         """
-        what = permit.route.name if model is None else model
+        latency_key = admitted.route.name if model is None else model
         if model is not None:
-            what += f" {self.placement.largest_prefill_rank(endpoint.lifetime, since_s)}"
-        is_loaded = self.canary_controller.bears_load(permit.service, endpoint)
-        is_slow = self._paces.is_slow(permit.service, what, latency_s, is_loaded)
-        if not self.canary_controller.is_target(permit.service, endpoint):
-            self._paces.learn(permit.service, what, latency_s)
+            latency_key += f" {self.placement.largest_prefill_rank(endpoint.lifetime, since_s)}"
+        is_loaded = self.canary_controller.bears_load(admitted.service, endpoint)
+        is_slow = self._latencies.is_slow(admitted.service, latency_key, latency_s, is_loaded)
+        if not self.canary_controller.is_target(admitted.service, endpoint):
+            self._latencies.learn(admitted.service, latency_key, latency_s)
         match is_slow:
             case None:
                 return AnswerVerdict.UNPACED
@@ -302,60 +303,60 @@
                 return AnswerVerdict.GOOD
 
     def record_verdict(
-        self, permit: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
+        self, admitted: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
     ) -> None:
-        """Take note of how an endpoint answered."""
-        self.canary_controller.note(permit.service, permit.route.name, endpoint, verdict)
+        """Record the verdict on an answer of an endpoint."""
+        self.canary_controller.note(admitted.service, admitted.route.name, endpoint, verdict)
 
     def mark_unreachable(self, endpoint: Endpoint, has_exited: bool = False) -> None:
-        """Take note that an endpoint could not be reached or went silent."""
+        """Record that an endpoint could not be reached or stopped answering."""
         endpoint.note_failure(self.clock.seconds(), has_exited)
         if has_exited:
             self.crash_guard.watch.ended(endpoint)
 
     def mark_address_reused(self, endpoint: Endpoint) -> None:
-        """Take note that another incarnation has the endpoint's address."""
+        """Record that another incarnation now uses the endpoint's address."""
         log.info("address reused", extra={"endpoint": endpoint.lifetime})
         self.crash_guard.watch.ended(endpoint)
         if self.directory.of_lifetime(endpoint.lifetime) is not None:
             self.directory.drop(endpoint.entry.incarnation)
 
-    def record_head(self, placed: PlacedCall, head: ReplyHead) -> None:
-        """Take note that a reply has begun."""
+    def record_head(self, placed_call: PlacedCall, head: ReplyHead) -> None:
+        """Record the head of the reply to a call."""
         now_s = self.clock.seconds()
-        self.gate.apply_head(placed.lifetime, head)
-        endpoint = self.directory.of_lifetime(placed.lifetime)
+        self.gate.apply_head(placed_call.lifetime, head)
+        endpoint = self.directory.of_lifetime(placed_call.lifetime)
         if endpoint is not None and not head.is_wrong_incarnation:
             self.directory.note_answer(endpoint, now_s)
         load = head.signals.load
-        if load is not None and endpoint is not None:  # else its lifetime is over
-            self.placement.update_reported_load(placed.lifetime, load, now_s)
+        if load is not None and endpoint is not None:  # None: the lifetime has ended
+            self.placement.update_reported_load(placed_call.lifetime, load, now_s)
         if head.is_success:
-            self.placement.note_reply_started(placed, now_s)
+            self.placement.note_reply_started(placed_call, now_s)
         elif head.not_run and not head.is_wrong_incarnation:
-            self.placement.note_refused(placed, now_s)
+            self.placement.note_refused(placed_call, now_s)
 
     def record_late_head(self, endpoint: Endpoint, head: ReplyHead) -> None:
-        """Take note of a reply of an endpoint to a call that nobody waits for any more."""
+        """Record the head of a reply to a call that was given up before."""
         self.gate.apply_head(endpoint.lifetime, head)
 
-    def release_call(self, placed: PlacedCall, is_failure: bool | None) -> None:
-        """Count a call no more."""
-        self.placement.release(placed, is_failure)
+    def release_call(self, placed_call: PlacedCall, is_failure: bool | None) -> None:
+        """Stop counting a call as running."""
+        self.placement.release(placed_call, is_failure)
 
     def send_refusal(
-        self, reply: CallerReply, permit: AdmittedRequest, status: int, reason: str
+        self, reply: CallerReply, admitted: AdmittedRequest, status: int, reason: str
     ) -> None:
-        """Send an answer of the router's own."""
+        """Refuse a request with a reply made by the router itself."""
         retry_s = None
         if status == 503 and reason == HELD:
-            retry_s = max(MIN_RETRY_AFTER_S, self.crash_guard.retry_s(permit))
+            retry_s = max(MIN_RETRY_AFTER_S, self.crash_guard.retry_s(admitted))
         elif status == 503:
-            retry_s = self.selector.retry_after_s(permit)
-        self.local_replies.send(reply, permit.request.call_id, status, reason, retry_s)
+            retry_s = self.selector.retry_after_s(admitted)
+        self.local_replies.send(reply, admitted.request.call_id, status, reason, retry_s)
 
     def request_finished(self, proxied: RequestState, outcome: str) -> None:
-        """Take note that a request has its final answer."""
+        """Record the final outcome of a request."""
         self.running_requests.discard(proxied)
         self.canary_controller.ended(proxied.admitted.service, proxied.admitted.request.session)
         self.counters.outcomes[outcome] = self.counters.outcomes.get(outcome, 0) + 1
@@ -367,18 +368,18 @@
         )
         self.presence.check_idle()
 
-    def _count_burn(self, exchange: RequestState, outcome: str) -> None:
-        permit = exchange.admitted
+    def _count_burn(self, proxied: RequestState, outcome: str) -> None:
+        admitted = proxied.admitted
         if self.burn is None or outcome in OUTCOMES_OF_CALLER:
             return
-        customer = "" if permit.customer is None else permit.customer.name
-        answered_s = exchange.first_event_s
-        ended_s = self.clock.seconds() if answered_s is None else answered_s
-        latency_s = ended_s - permit.received_s
-        self.burn.count(customer, permit.route.name, outcome == "done", latency_s)
+        customer = "" if admitted.customer is None else admitted.customer.name
+        first_event_s = proxied.first_event_s
+        ended_s = self.clock.seconds() if first_event_s is None else first_event_s
+        latency_s = ended_s - admitted.received_s
+        self.burn.count(customer, admitted.route.name, outcome == "done", latency_s)
 
     def objectives(self) -> dict[str, tuple[float, float]]:
-        """Return by route the share of requests that are to be good, and their latency."""
+        """Return the target share of good requests and the latency objective (s) of each route."""
         if self.table is None:
             return {}
         share = self.settings.good_share
@@ -387,7 +388,7 @@
     def log_decision(
         self, proxied: RequestState, message: str, is_failure: bool, **facts: object
     ) -> None:
-        """Write a decision to the log, with what it rests on."""
+        """Write a decision about a request to the log, with the state that it is based on."""
         endpoint = proxied.endpoint
         assert self.table is not None
         limit = None if endpoint is None else self.gate.limits.get(endpoint.lifetime)
--- a/umberhitch/tasks/direct/gateway_limits.py
+++ b/umberhitch/tasks/direct/gateway_limits.py
@@ -1,4 +1,4 @@
-"""What a router of the direct path is told, and what it counts."""
+"""Settings and counters of a router of the direct path."""
 
 from dataclasses import dataclass, field
 
@@ -19,27 +19,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewaySettings:
-    """What a router of the direct path is told.
+    """Settings of a router of the direct path.
 
     Attributes
     ----------
     name, zone : str
     link_mbps : float
-        Bandwidth of the host's link; 0 where it is not known.
+        Bandwidth of the host's link in megabits per second; 0 if it is not known.
     proof_age_s : float
-        Where the proof that the keys are the newest is older, it is stale.
-    behind_s : float
-        Where a newer configuration has been known for so long and is not in force, requests are
-        refused.
+        Age in seconds from which the proof that the API keys are current counts as stale.
+    max_lag_s : float
+        Requests are refused if a newer configuration has been known for this many seconds and is
+        still not active.
     is_strict : bool
-        Whether requests with keys are refused then; else the last keys known are served.
+        Whether requests with API keys are refused while the proof is stale. If false, requests
+        with the last known keys are served.
     drain_s : float
-        How long a shutdown may take in all.
+        Maximum duration of a shutdown in seconds.
     drain_notice_s : float
-        At a shutdown, connections are taken for so long: the balancer notices only then.
+        Seconds for which connections are accepted during a shutdown, until the load balancer has
+        noticed it.
     good_share : float
-        Share of a route's requests that are to be done within its objective; the burn report
-        measures against it.
+        Target share of a route's requests that succeed within its latency objective; the burn
+        report uses it.
     """
 
     name: str
@@ -57,8 +59,9 @@
     endpoint_polling: FeedTiming = field(
         default_factory=lambda: FeedTiming(wait_s=0.0, pause_s=0.95, timeouts_s=(0.5, 0.35, 1.0))
     )
-    """Heartbeats come all the time, so calls are not held; one that is lost must not cost more than
-    what is left of the 2 s in which an endpoint that leaves has to be known."""
+    """Polling of the endpoint registry. Heartbeats arrive all the time, so the store does not hold
+    these calls. A lost call must not cost more than the rest of the 2 s within which a draining
+    endpoint has to be known."""
     budget: RetryBudgetLimits = RetryBudgetLimits()
     cascade: CascadeLimits = CascadeLimits()
     cold: ColdLimits = ColdLimits()
@@ -71,7 +74,7 @@
 
 @dataclass(slots=True)
 class GatewayCounters:
-    """Counts since the start."""
+    """Counters since the start of the process."""
 
     requests: int = 0
     calls: int = 0
--- a/umberhitch/tasks/direct/idle_timer.py
+++ b/umberhitch/tasks/direct/idle_timer.py
@@ -1,4 +1,4 @@
-"""Tells when a call has been silent for too long, but not while its caller reads too slowly."""
+"""Idle timeout of a call, which does not run while the caller reads too slowly."""
 
 from collections.abc import Callable
 
@@ -8,36 +8,36 @@
 
 
 class IdleTimer:
-    """Watches one call at a time.
+    """Times out one call at a time.
 
     Parameters
     ----------
     clock : Clock
-    on_silent : callable
-        Called once where nothing has come for so long.
+    on_timeout : callable
+        Called once if nothing has arrived within the timeout.
     """
 
-    def __init__(self, clock: Clock, on_silent: Callable[[], None]) -> None:
+    def __init__(self, clock: Clock, on_timeout: Callable[[], None]) -> None:
         self._clock = clock
-        self._on_silent = on_silent
+        self._on_timeout = on_timeout
         self._timer: Timer | None = None
 
     @property
     def is_running(self) -> bool:
-        """Whether a call is watched."""
+        """Whether the timer is running."""
         return self._timer is not None
 
     def restart(self, timeout_s: float) -> None:
-        """Watch from now on, or anew."""
+        """Start the timer, or start it over."""
         self.stop()
-        self._timer = self._clock.callLater(timeout_s, self._ring)
+        self._timer = self._clock.callLater(timeout_s, self._expire)
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop the timer."""
         timer, self._timer = self._timer, None
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _ring(self) -> None:
+    def _expire(self) -> None:
         self._timer = None
-        self._on_silent()
+        self._on_timeout()
