--- a/umberhitch/tasks/direct/intake.py
+++ b/umberhitch/tasks/direct/intake.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: admits them, lets them wait a moment, refuses them, or begins them."""
+"""Intake of callers' requests: each is admitted, refused, or delayed for a moment."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -24,14 +24,15 @@
 __all__ = ["Intake"]
 
 MAX_PROOF_WAIT_S = 0.025
-"""A router that stood still waits so long for the store's word before it refuses requests with
-keys: the store answers in some ms, and it is under a quarter of the shortest objective seen."""
+"""Maximum time that a router whose process was suspended waits for the store before it refuses
+requests with API keys. The store answers within a few ms, and the wait is less than a quarter of
+the shortest latency objective in use."""
 
 OnCallerLeft = Callable[[], None]
 
 
 class SendLocalReply(Protocol):
-    """Sends an answer of the router's own."""
+    """Sends a reply made by the router itself."""
 
     def __call__(
         self,
@@ -41,19 +42,19 @@
         reason: str,
         retry_after_s: float | None,
     ) -> None:
-        """Send it whole."""
+        """Send the reply complete."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Intake:
-    """What stands between a request that was read and its exchange with endpoints.
+    """Handles each request between its being read and its being proxied.
 
     Attributes
     ----------
-    begin : callable
-        Begins an exchange, with whether it is a probe; returns what is to be called if the caller
-        leaves.
+    start_request : callable
+        Starts proxying a request; its last argument tells whether the request is a probe. Returns
+        the function to call if the caller disconnects.
     """
 
     clock: Clock
@@ -67,91 +68,96 @@
     start_request: Callable[[AdmittedRequest, CallerReply, bool], OnCallerLeft]
 
     def handle(self, raw: RawRequest, reply: CallerReply) -> OnCallerLeft:
-        """Begin to answer a request; returns what is to be called if the caller leaves."""
+        """Start answering a request; return the function to call if the caller disconnects."""
         try:
-            ask = self.wire.read_request(raw)
+            req = self.wire.read_request(raw)
         except BadAskError as exc:
             self.send_reply(reply, None, exc.status, str(exc), None)
             return do_nothing
-        permit = self._admit(ask, raw.received_s)
-        if permit is STALE_CONFIGURATION and not self.view.operator_feed.is_failing:
-            return self._wait_for_proof(ask, raw.received_s, reply)
-        return self._go_on(ask, permit, reply)
+        admitted = self._admit(req, raw.received_s)
+        if admitted is STALE_CONFIGURATION and not self.view.operator_feed.is_failing:
+            return self._wait_for_proof(req, raw.received_s, reply)
+        return self._start_or_refuse(req, admitted, reply)
 
-    def _admit(self, ask: CallerRequest, received_s: float) -> AdmittedRequest | Refusal:
-        return self.admission.admit(ask, received_s, not self.presence.is_drain_noticed)
+    def _admit(self, req: CallerRequest, received_s: float) -> AdmittedRequest | Refusal:
+        return self.admission.admit(req, received_s, not self.presence.is_drain_noticed)
 
     def _wait_for_proof(
-        self, ask: CallerRequest, received_s: float, reply: CallerReply
+        self, req: CallerRequest, received_s: float, reply: CallerReply
     ) -> OnCallerLeft:
-        """Wait a moment for the store's answer: the process stood still, and wakes."""
-        leave = do_nothing
+        """Wait briefly for the store's answer, since the process may have just been resumed."""
+        on_caller_left = do_nothing
 
-        def go_on() -> None:
-            nonlocal leave
-            leave = self._go_on(ask, self._admit(ask, received_s), reply)
+        def proceed() -> None:
+            nonlocal on_caller_left
+            on_caller_left = self._start_or_refuse(req, self._admit(req, received_s), reply)
 
-        timer = self.clock.callLater(MAX_PROOF_WAIT_S, go_on)
+        timer = self.clock.callLater(MAX_PROOF_WAIT_S, proceed)
 
-        def on_left() -> None:
+        def on_disconnect() -> None:
             if timer.active():
                 timer.cancel()
             else:
-                leave()
+                on_caller_left()
 
-        return on_left
+        return on_disconnect
 
-    def _go_on(
-        self, ask: CallerRequest, permit: AdmittedRequest | Refusal, reply: CallerReply
+    def _start_or_refuse(
+        self, req: CallerRequest, admitted: AdmittedRequest | Refusal, reply: CallerReply
     ) -> OnCallerLeft:
-        """Pass a request on, or refuse it."""
-        if isinstance(permit, Refusal):
-            retry_s = self._come_back_s(ask) if permit.status == 503 else None
-            self.send_reply(reply, ask.call_id, permit.status, permit.reason, retry_s)
+        """Start proxying a request, or refuse it."""
+        if isinstance(admitted, Refusal):
+            retry_after_s = self._retry_after_s(req) if admitted.status == 503 else None
+            self.send_reply(reply, req.call_id, admitted.status, admitted.reason, retry_after_s)
             return do_nothing
-        if self.crash_guard.is_held(permit):
-            return self._ask_probe(permit, reply)
-        return self.start_request(permit, reply, False)
-
-    def _ask_probe(self, permit: AdmittedRequest, reply: CallerReply) -> OnCallerLeft:
-        """Run a request that is held if that is allowed, else refuse it."""
-        ask = permit.request
-        leave = do_nothing
-        has_left = False
-
-        def go_on(retry_s: float | None) -> None:
-            nonlocal leave
-            if has_left:
-                if retry_s is None:
-                    self.crash_guard.sharing.probe_over(permit.request_key)
-            elif retry_s is None:
-                leave = self.start_request(permit, reply, True)
+        if self.crash_guard.is_held(admitted):
+            return self._ask_probe(admitted, reply)
+        return self.start_request(admitted, reply, False)
+
+    def _ask_probe(self, admitted: AdmittedRequest, reply: CallerReply) -> OnCallerLeft:
+        """Run a held request as a probe if that is allowed, otherwise refuse it."""
+        req = admitted.request
+        on_caller_left = do_nothing
+        has_disconnected = False
+
+        def proceed(retry_after_s: float | None) -> None:
+            nonlocal on_caller_left
+            if has_disconnected:
+                if retry_after_s is None:
+                    self.crash_guard.sharing.probe_over(admitted.request_key)
+            elif retry_after_s is None:
+                on_caller_left = self.start_request(admitted, reply, True)
             else:
-                self.send_reply(reply, ask.call_id, 503, HELD, max(MIN_RETRY_AFTER_S, retry_s))
-
-        def on_left() -> None:
-            nonlocal has_left
-            has_left = True
-            leave()
-
-        chosen = self.selector.select_endpoint(permit, self.selector.first_model(permit), set())
-        if chosen is None:
-            go_on(STARTING_RETRY_AFTER_S)
+                self.send_reply(
+                    reply, req.call_id, 503, HELD, max(MIN_RETRY_AFTER_S, retry_after_s)
+                )
+
+        def on_disconnect() -> None:
+            nonlocal has_disconnected
+            has_disconnected = True
+            on_caller_left()
+
+        candidate = self.selector.select_endpoint(
+            admitted, self.selector.first_model(admitted), set()
+        )
+        if candidate is None:
+            proceed(STARTING_RETRY_AFTER_S)
         else:
-            lease_s = min(ask.patience_s, permit.route.timeout_s)
-            self.crash_guard.ask_probe(permit, chosen.endpoint, lease_s, go_on)
-        return on_left
-
-    def _come_back_s(self, ask: CallerRequest) -> float:
-        """Return when a request that is not taken should come again.
-
-        A router that starts while the store is away has nothing to serve by until that is back,
-        which takes seconds, and callers come again once or a few times only: so they are told the
-        longest time that they honour. With 0.5 s, 166 of 174 requests of the 2 s in which 32
-        routers were restarted without a store were refused twice, and lost.
+            lease_s = min(req.patience_s, admitted.route.timeout_s)
+            self.crash_guard.ask_probe(admitted, candidate.endpoint, lease_s, proceed)
+        return on_disconnect
+
+    def _retry_after_s(self, req: CallerRequest) -> float:
+        """Return after how many seconds a request that is not admitted should be retried.
+
+        A router that starts while the store is unreachable has no configuration until the store is
+        back, which takes seconds, and callers retry only once or a few times. They are therefore
+        given the longest retry time that they honor. With 0.5 s, 166 of the 174 requests that
+        arrived in the 2 s in which 32 routers restarted without a store were refused twice, and
+        were lost.
         """
         if self.presence.is_draining:
             return self.presence.retry_after_s()
         if not self.view.is_loaded and self.view.is_store_unavailable:
-            return max(STARTING_RETRY_AFTER_S, HONORED_SHARE * ask.patience_s)
+            return max(STARTING_RETRY_AFTER_S, HONORED_SHARE * req.patience_s)
         return STARTING_RETRY_AFTER_S
--- a/umberhitch/tasks/direct/local_replies.py
+++ b/umberhitch/tasks/direct/local_replies.py
@@ -1,4 +1,4 @@
-"""The answers of a router's own: requests that it refuses or gives up."""
+"""Replies made by the router itself, to requests that it refuses or gives up."""
 
 from umberhitch.ports.direct import CallerReply, HeaderList, WirePort
 from umberhitch.tasks.direct.decision_log import DecisionLog
@@ -8,7 +8,7 @@
 
 
 class LocalReplies:
-    """Makes and sends them, and counts them by their reason.
+    """Makes and sends local replies, and counts them by reason.
 
     Parameters
     ----------
@@ -18,6 +18,7 @@
     Attributes
     ----------
     refused : dict of str to int
+        Number of replies by reason.
     """
 
     def __init__(self, wire: WirePort, decisions: DecisionLog) -> None:
@@ -33,7 +34,7 @@
         reason: str,
         retry_after_s: float | None,
     ) -> None:
-        """Send an answer whole."""
+        """Send a complete reply."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
         self._decisions.write("refused", call_id, True, status=status, reason=reason)
         headers, body = self._make(call_id, reason, retry_after_s)
@@ -41,14 +42,14 @@
         reply.data(body)
         reply.end()
 
-    def make_unread_reply(self, status: int, problem: str) -> tuple[HeaderList, bytes]:
-        """Return headers and body of an answer to a request that was not taken."""
-        return self._make(None, problem, MIN_RETRY_AFTER_S if status in (408, 503) else None)
+    def make_unread_reply(self, status: int, reason: str) -> tuple[HeaderList, bytes]:
+        """Return the headers and the body of a refusal of a request that was not read."""
+        return self._make(None, reason, MIN_RETRY_AFTER_S if status in (408, 503) else None)
 
     def _make(
-        self, call_id: str | None, reason: str, retry_s: float | None
+        self, call_id: str | None, reason: str, retry_after_s: float | None
     ) -> tuple[HeaderList, bytes]:
         body = b'{"error":"' + reason.encode("ascii", "replace").replace(b'"', b"'") + b'"}'
-        headers = self._wire.refusal_headers(call_id, retry_s)
+        headers = self._wire.refusal_headers(call_id, retry_after_s)
         headers.append((b"Content-Length", str(len(body)).encode()))
         return headers, body
--- a/umberhitch/tasks/direct/proxied_request.py
+++ b/umberhitch/tasks/direct/proxied_request.py
@@ -1,8 +1,8 @@
 """One caller's request on the direct path, from its head to its final answer.
 
-Every call to an endpoint ends in one of three ways: not run, done, unknown. Only a request of which
-no call can have run is refused as "not run"; what may have run is tried again only where it may be
-repeated. A request that is given up gets its answer at once.
+Every call to an endpoint ends as not run, completed or with an unknown outcome. A request is
+refused as "not run" only if none of its calls can have run. A request that may have run is retried
+only if its route allows that. A request that is given up gets its final answer at once.
 """
 
 from collections.abc import Callable
@@ -18,99 +18,99 @@
 __all__ = ["HELD", "REFUSED_BY_ENDPOINT", "ProxiedRequest"]
 
 MAX_CONNECT_FAILURES = 6
-"""Endpoints that could not be reached, for one request."""
+"""Maximum number of endpoints that one request may fail to reach."""
 REFUSED_BY_ENDPOINT = "refused by the endpoint"
-"""Outcome of a request that the endpoint found wanting: the caller's fault."""
+"""Outcome of a request that the endpoint rejected because of an error of the caller."""
 HELD = "endpoints ended under it"
-"""Reason of an answer to a request that is held."""
+"""Refusal reason of a request that is held."""
 MIN_REMAINING_S = 0.02
-"""With less time left no call is begun."""
+"""No call is started with less time than this before the deadline."""
 
 
 class ProxiedRequest:
-    """One request.
+    """A caller's request that is proxied to endpoints, with its retries and resumptions.
 
     Parameters
     ----------
     services : Services
-    permit : AdmittedRequest
+    admitted : AdmittedRequest
     reply : CallerReply
     is_probe : bool
-        Whether the request is held and this is to show whether it still ends endpoints: it is sent
-        once, then.
+        Whether the request is held and this run tests whether it still crashes endpoints. A probe
+        is sent only once.
     """
 
     def __init__(
         self,
         services: Services,
-        permit: AdmittedRequest,
+        admitted: AdmittedRequest,
         reply: CallerReply,
         is_probe: bool = False,
     ) -> None:
-        self.admitted = permit
+        self.admitted = admitted
         self._is_probe = is_probe
         self._svc = services
-        self._reply = reply
+        self._caller_reply = reply
         self._clock = services.clock
-        ask, route = permit.request, permit.route
-        self._deadline_s = permit.received_s + min(ask.patience_s, route.timeout_s)
+        req, route = admitted.request, admitted.route
+        self._deadline_s = admitted.received_s + min(req.patience_s, route.timeout_s)
         self._sends = 0
-        self._dials = 0
+        self._connect_failures = 0
         self._may_have_run = False
-        self._tried: set[str] = set()
+        self._tried_lifetimes: set[str] = set()
         self._model: str | None = None
         self._endpoint: Endpoint | None = None
-        self._placed: PlacedCall | None = None
+        self._placed_call: PlacedCall | None = None
         self._call: RunningCall | None = None
         self._run: Run | None = None
         self._head: ReplyHead | None = None
-        self._judge = AnswerJudge(services, permit)
-        self._relay = Relay(reply, ask.last_event_id, self._pause, self._resume)
+        self._judge = AnswerJudge(services, admitted)
+        self._relay = Relay(reply, req.last_event_id, self._pause, self._resume)
         self._is_paused = False
-        self._is_over = False
+        self._is_finished = False
         self.first_event_s: float | None = None
-        """When the first event of a stream was passed on."""
+        """Time at which the first event of a stream was passed to the caller."""
         self._deadline: Timer | None = None
-        self._silence = IdleTimer(services.clock, self._on_stall)
+        self._idle_timer = IdleTimer(services.clock, self._on_idle_timeout)
 
-    # Life
+    # Lifecycle
 
     def start(self) -> Callable[[], None]:
-        """Begin; returns what is to be called if the caller leaves."""
+        """Send the first call; return the function to call if the caller disconnects."""
         left_s = self._deadline_s - self._clock.seconds()
         self._deadline = self._clock.callLater(max(0.0, left_s), self._on_deadline)
         self._model = self._svc.selector.first_model(self.admitted)
-        self._next()
+        self._send_next()
         return self._on_caller_left
 
     @property
     def last_event(self) -> bytes | None:
-        """Id of the last event that the caller has."""
+        """Id of the last event that was passed to the caller."""
         return self._relay.last_event
 
     @property
     def remaining_s(self) -> float:
-        """Time until the final answer is due."""
+        """Seconds until the deadline of the final answer."""
         return self._deadline_s - self._clock.seconds()
 
     @property
     def sends(self) -> int:
-        """Calls so far that reached an endpoint, or may have."""
+        """Number of calls so far that reached an endpoint or may have reached one."""
         return self._sends
 
     @property
     def model(self) -> str | None:
-        """Model that was asked last."""
+        """Model of the last call."""
         return self._model
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """Endpoint that was asked last."""
+        """Endpoint of the last call."""
         return self._endpoint
 
-    def _next(self) -> None:
+    def _send_next(self) -> None:
         """Send the request to the next endpoint, or give up."""
-        if self._is_over:
+        if self._is_finished:
             return
         if self.remaining_s < MIN_REMAINING_S:
             self._give_up("deadline")
@@ -121,105 +121,105 @@
         if self._is_held():
             self._give_up(HELD)
             return
-        chosen = self._choose()
-        if chosen is None:
+        candidate = self._select_candidate()
+        if candidate is None:
             self._give_up(self._svc.selector.failure_reason)
             return
         if self._sends > 0 and not self._svc.acquire_retry(self.admitted.service):
             self._give_up("retry budget")
             return
-        self._begin_call(chosen)
+        self._start_call(candidate)
 
     def _is_held(self) -> bool:
-        """Whether the request may not be sent (again)."""
+        """Whether the request is held, so that no further call may be sent."""
         if self._is_probe and self._sends == 0:
             return False
         return self._is_probe or self._svc.crash_guard.is_held(self.admitted)
 
-    def _choose(self) -> Candidate | None:
-        """Return an endpoint that has not been tried, or None."""
-        return self._svc.selector.select_endpoint(self.admitted, self._model, self._tried)
+    def _select_candidate(self) -> Candidate | None:
+        """Return a candidate that has not been tried yet, or None."""
+        return self._svc.selector.select_endpoint(self.admitted, self._model, self._tried_lifetimes)
 
-    def _begin_call(self, offer: Candidate) -> None:
-        endpoint = self._endpoint = offer.endpoint
+    def _start_call(self, candidate: Candidate) -> None:
+        endpoint = self._endpoint = candidate.endpoint
         self._judge.start_call(endpoint, self._model)
         self._head = None
         self._relay.start_call()
         self._sends += 1
-        self._tried.add(endpoint.lifetime)
+        self._tried_lifetimes.add(endpoint.lifetime)
         self._run = self._svc.crash_guard.start_run(self.admitted, endpoint, self._is_probe)
-        self._call, self._placed = self._svc.send(self.admitted, endpoint, self._model, self)
+        self._call, self._placed_call = self._svc.send(self.admitted, endpoint, self._model, self)
         self._svc.log_decision(
             self,
             "call sent",
             False,
             version=endpoint.entry.version,
-            expected_s=round(offer.wait_s, 4),
-            delay_cost=round(offer.delay_cost, 3),
+            expected_s=round(candidate.wait_s, 4),
+            delay_cost=round(candidate.delay_cost, 3),
             left_s=round(self.remaining_s, 3),
             after_event=None if self.last_event is None else self.last_event.decode("latin-1"),
         )
         if self._is_paused:
             self._call.pause()
-        try_s = self._svc.timeouts.attempt_timeout_s(self.admitted.route)
-        if try_s is not None:
-            self._silence.restart(try_s)
+        timeout_s = self._svc.timeouts.attempt_timeout_s(self.admitted.route)
+        if timeout_s is not None:
+            self._idle_timer.restart(timeout_s)
 
     def _end_call(self, is_failure: bool | None) -> None:
-        """Count the present call no more."""
-        self._silence.stop()
-        placed, self._placed = self._placed, None
+        """Stop counting the current call as running."""
+        self._idle_timer.stop()
+        placed_call, self._placed_call = self._placed_call, None
         self._call = None
-        if placed is not None:
-            self._svc.release_call(placed, is_failure)
+        if placed_call is not None:
+            self._svc.release_call(placed_call, is_failure)
 
-    def _settle(self, tell: Callable[[Run], None]) -> None:
-        """Tell how the present call went on: once, by what is known first."""
+    def _settle_run(self, report: Callable[[Run], None]) -> None:
+        """Report the outcome of the current call to the crash guard, once: the first one known."""
         run, self._run = self._run, None
         if run is not None:
-            tell(run)
+            report(run)
 
     # Timers
 
-    def _on_stall(self) -> None:
-        """Try elsewhere what has been silent for too long, if that can be had."""
+    def _on_idle_timeout(self) -> None:
+        """Retry a call that timed out on another endpoint, if one is available."""
         if self._is_paused or self._call is None:
             return
-        can_repeat = self._sends < self.admitted.route.max_attempts
-        if not can_repeat or self._choose() is None:
+        can_retry = self._sends < self.admitted.route.max_attempts
+        if not can_retry or self._select_candidate() is None:
             return
         self._call.cancel()
         self._broken("silent")
 
-    def _leave_call(self) -> None:
-        """Give up the present call."""
+    def _cancel_call(self) -> None:
+        """Cancel the current call."""
         assert self._call is not None
         self._call.cancel()
-        self._settle(self._svc.crash_guard.record_cancelled)
+        self._settle_run(self._svc.crash_guard.record_cancelled)
         self._end_call(None)
 
     def _on_deadline(self) -> None:
         self._deadline = None
         if self._call is not None:
             self._may_have_run = True
-            self._leave_call()
+            self._cancel_call()
         self._give_up("deadline")
 
     def _on_caller_left(self) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
         if self._call is not None:
-            self._leave_call()
+            self._cancel_call()
         self._finish("caller left")
 
     # Events of the call
 
     def on_head(self, head: ReplyHead) -> None:
-        """Decide by the head of the reply what becomes of it."""
+        """Handle the head of the reply."""
         assert self._endpoint is not None
-        assert self._placed is not None
+        assert self._placed_call is not None
         self._head = head
-        self._svc.record_head(self._placed, head)
+        self._svc.record_head(self._placed_call, head)
         if self._run is not None and not head.is_wrong_incarnation:
             self._svc.crash_guard.record_head(self._run)
         if head.not_run:
@@ -230,7 +230,7 @@
             self._on_error(head)
 
     def on_late_head(self, head: ReplyHead) -> None:
-        """Take a reply to an earlier call: it tells of the endpoint all the same."""
+        """Handle the head of a reply to an earlier call, for what it says about the endpoint."""
         assert self._endpoint is not None
         self._svc.record_late_head(self._endpoint, head)
 
@@ -238,16 +238,16 @@
         assert self._endpoint is not None
         if head.is_wrong_incarnation:
             self._svc.mark_address_reused(self._endpoint)
-        self._settle(self._svc.crash_guard.record_not_run)
+        self._settle_run(self._svc.crash_guard.record_not_run)
         self._svc.log_decision(self, "call not run", True, status=head.status)
-        self._go_on(None)
+        self._try_next(None)
 
-    def _go_on(self, is_failure: bool | None) -> None:
-        """Leave a call whose reply is of no use, and try elsewhere."""
+    def _try_next(self, is_failure: bool | None) -> None:
+        """Discard the reply to the current call, and try another endpoint."""
         assert self._call is not None
         self._call.detach()
         self._end_call(is_failure)
-        self._next()
+        self._send_next()
 
     def _on_success(self, head: ReplyHead) -> None:
         assert self._call is not None
@@ -257,70 +257,72 @@
             return
         self._may_have_run = True
         if self._relay.is_streaming:
-            self._watch_gap()
+            self._restart_gap_timer()
             return
-        larger = None
+        larger_model = None
         if self._may_escalate():
             assert self._model is not None
             waited_s = self._clock.seconds() - self.admitted.received_s
-            larger = self._svc.selector.larger_model(
+            larger_model = self._svc.selector.larger_model(
                 self.admitted, self._model, head.confidence, waited_s
             )
-        if larger is not None and self._svc.acquire_retry(self.admitted.service):
-            self._escalate(larger)
+        if larger_model is not None and self._svc.acquire_retry(self.admitted.service):
+            self._escalate(larger_model)
             return
         if self.admitted.route.kind is RouteKind.STREAM:
             self._relay.start_stream(head)
-            self._watch_gap()
+            self._restart_gap_timer()
 
     def _may_escalate(self) -> bool:
-        has_sends = self._sends < self.admitted.route.max_attempts
-        return self._model is not None and has_sends and not self._is_held()
+        has_attempts_left = self._sends < self.admitted.route.max_attempts
+        return self._model is not None and has_attempts_left and not self._is_held()
 
-    def _escalate(self, larger: str) -> None:
-        """Drop an answer of which the caller has nothing yet, and ask another model."""
+    def _escalate(self, larger_model: str) -> None:
+        """Drop an answer of which nothing was passed on yet, and call the larger model instead."""
         assert self._call is not None
         assert self._endpoint is not None
         confidence = None if self._head is None else self._head.confidence
-        self._svc.log_decision(self, "answer dropped", False, confidence=confidence, larger=larger)
-        self._leave_call()
+        self._svc.log_decision(
+            self, "answer dropped", False, confidence=confidence, larger=larger_model
+        )
+        self._cancel_call()
         previous = self._model
-        self._model = larger
-        self._tried.clear()
-        chosen = self._choose()
-        if chosen is None:
+        self._model = larger_model
+        self._tried_lifetimes.clear()
+        candidate = self._select_candidate()
+        if candidate is None:
             self._model = previous
-            self._next()
+            self._send_next()
             return
-        self._begin_call(chosen)
+        self._start_call(candidate)
 
     def _on_error(self, head: ReplyHead) -> None:
-        """Handle a failure that the endpoint itself reports; it ran."""
+        """Handle an error status from the endpoint, which ran the request."""
         self._may_have_run = True
         is_server_side = head.status >= 500
         self._svc.log_decision(self, "endpoint failed", True, status=head.status)
-        self._settle(self._svc.crash_guard.record_completed)
+        self._settle_run(self._svc.crash_guard.record_completed)
         if is_server_side:
             self._judge.record_failure()
-        if self._relay.is_streaming or (is_server_side and self._can_repeat()):
-            self._go_on(is_server_side)
+        if self._relay.is_streaming or (is_server_side and self._can_retry()):
+            self._try_next(is_server_side)
 
-    def _can_repeat(self) -> bool:
+    def _can_retry(self) -> bool:
         route = self.admitted.route
         return (
             route.is_repeatable
             and self._sends < route.max_attempts
             and self.remaining_s > MIN_REMAINING_S
-            and self._choose() is not None
+            and self._select_candidate() is not None
         )
 
     def on_data(self, data: bytes) -> None:
-        """Take more of the body."""
+        """Handle a part of the body."""
         assert self._head is not None
         if not self._relay.is_streaming:
             self._relay.plain_data(self._head, data)
             return
-        self._watch_gap()
+        self._restart_gap_timer()
         try:
             has_events = self._relay.stream_data(data)
         except ValueError as exc:
@@ -333,18 +335,18 @@
                 self.first_event_s = self._clock.seconds()
             self._judge.record_events(self._relay.event_count)
 
-    def _watch_gap(self) -> None:
+    def _restart_gap_timer(self) -> None:
         if self.admitted.route.is_repeatable:
-            self._silence.restart(self._svc.timeouts.gap_factor * self.admitted.route.gap_s)
+            self._idle_timer.restart(self._svc.timeouts.gap_factor * self.admitted.route.gap_s)
 
     def on_end(self) -> None:
-        """Take the end of the reply."""
+        """Handle the end of the reply."""
         assert self._head is not None
         assert self._endpoint is not None
         if not self._relay.is_at_event_boundary:
             self._broken("ended within an event")
             return
-        self._settle(self._svc.crash_guard.record_completed)
+        self._settle_run(self._svc.crash_guard.record_completed)
         is_failure = self._head.status >= 500
         if not is_failure:
             if self._relay.is_streaming:
@@ -359,30 +361,30 @@
             self._finish("failed by the endpoint" if is_failure else REFUSED_BY_ENDPOINT)
 
     def on_failure(self, failure: CallFailure, detail: str) -> None:
-        """Take the end of a call without a whole reply."""
+        """Handle the failure of a call before its reply was complete."""
         match failure:
             case CallFailure.NOT_SENT:
-                self._not_sent(detail, False)
+                self._on_not_sent(detail, False)
             case CallFailure.REFUSED:
-                self._not_sent(detail, True)
+                self._on_not_sent(detail, True)
             case CallFailure.BROKEN:
                 self._broken(detail)
 
-    def _not_sent(self, detail: str, is_ended: bool) -> None:
+    def _on_not_sent(self, detail: str, has_exited: bool) -> None:
         assert self._endpoint is not None
         self._svc.log_decision(self, "endpoint not reached", True, detail=detail)
-        self._svc.mark_unreachable(self._endpoint, is_ended)
-        self._settle(self._svc.crash_guard.record_not_sent)
+        self._svc.mark_unreachable(self._endpoint, has_exited)
+        self._settle_run(self._svc.crash_guard.record_not_sent)
         self._end_call(True)
         self._sends -= 1
-        self._dials += 1
-        if self._dials >= MAX_CONNECT_FAILURES:
+        self._connect_failures += 1
+        if self._connect_failures >= MAX_CONNECT_FAILURES:
             self._give_up("no endpoint reached")
             return
-        self._next()
+        self._send_next()
 
     def _broken(self, detail: str) -> None:
-        """A call was sent, and how it ended is not known."""
+        """Handle a call that was sent and whose outcome is unknown."""
         assert self._endpoint is not None
         self._svc.log_decision(
             self, "call broken", True, detail=detail, had_head=self._head is not None
@@ -390,53 +392,54 @@
         self._may_have_run = True
         if self._head is None:
             self._svc.mark_unreachable(self._endpoint)
-        self._settle(self._svc.crash_guard.record_broken)
+        self._settle_run(self._svc.crash_guard.record_broken)
         self._end_call(True)
         self._relay.drop_partial_event()
         if self._relay.is_streaming:
-            # Part of the answer is out: an endpoint that broke off before may go on with it.
-            self._tried = {self._endpoint.lifetime}
-        is_passing = self._relay.has_started and not self._relay.is_streaming
-        if is_passing or not self.admitted.route.is_repeatable:
+            # Part of the answer was passed on. Only the endpoint that has just failed is excluded;
+            # those that failed earlier may resume the stream.
+            self._tried_lifetimes = {self._endpoint.lifetime}
+        is_passing_through = self._relay.has_started and not self._relay.is_streaming
+        if is_passing_through or not self.admitted.route.is_repeatable:
             self._give_up("unknown outcome")
             return
-        self._next()
+        self._send_next()
 
-    # The end
+    # Final answer
 
     def _give_up(self, reason: str) -> None:
-        """Send the final answer."""
-        if self._is_over:
+        """Send an error as the final answer, or abort an answer that has started."""
+        if self._is_finished:
             return
         if self._relay.has_started:
             self._relay.abort()
             self._finish(f"broken off: {reason}")
             return
         if not self._may_have_run:
-            self._svc.send_refusal(self._reply, self.admitted, 503, reason)
+            self._svc.send_refusal(self._caller_reply, self.admitted, 503, reason)
         else:
             status = 504 if reason == "deadline" else 502
-            self._svc.send_refusal(self._reply, self.admitted, status, reason)
+            self._svc.send_refusal(self._caller_reply, self.admitted, status, reason)
         self._finish(f"given up: {reason}")
 
     def _finish(self, outcome: str) -> None:
-        self._is_over = True
-        self._silence.stop()
+        self._is_finished = True
+        self._idle_timer.stop()
         deadline, self._deadline = self._deadline, None
         if deadline is not None and deadline.active():
             deadline.cancel()
         self._svc.request_finished(self, outcome)
 
     def abort(self) -> None:
-        """Break off: the process stops."""
-        if self._is_over:
+        """Abort the request because the process stops."""
+        if self._is_finished:
             return
         if self._call is not None:
             self._may_have_run = True
-            self._leave_call()
+            self._cancel_call()
         self._give_up("leaving")
 
-    # Pressure
+    # Back-pressure
 
     def _pause(self) -> None:
         self._is_paused = True
@@ -447,5 +450,5 @@
         self._is_paused = False
         if self._call is not None:
             self._call.resume()
-            if not self._silence.is_running and self._relay.is_streaming:
-                self._watch_gap()  # it ran out meanwhile
+            if not self._idle_timer.is_running and self._relay.is_streaming:
+                self._restart_gap_timer()  # the timer expired during the pause
--- a/umberhitch/tasks/direct/relay.py
+++ b/umberhitch/tasks/direct/relay.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: what of the replies has gone out, and what is held."""
+"""The caller's side of one request: what was passed on of the replies, and what is buffered."""
 
 from collections.abc import Callable
 
@@ -8,24 +8,24 @@
 __all__ = ["Relay"]
 
 MAX_BUFFERED_BYTES = 1_048_576
-"""A plain reply up to this size is passed on only when it is whole."""
+"""A plain reply up to this size is passed on only when it is complete."""
 
 
 class Relay:
-    """Passes streams on by whole events, and plain replies whole unless they are long.
+    """Passes on streams by complete events, and plain replies complete unless they are long.
 
     Parameters
     ----------
     reply : CallerReply
     last_event : bytes or None
-        The caller has the events of the stream up to this id.
+        Id of the last event of the stream that the caller already has.
     pause, resume : callable
-        Called when the caller reads too slowly, and when it has caught up.
+        Called when the caller reads too slowly, and when it has caught up, respectively.
 
     Attributes
     ----------
     is_streaming : bool
-        Whether a stream has begun; other endpoints may go on with it.
+        Whether a stream has started; other endpoints may resume it.
     """
 
     def __init__(
@@ -39,76 +39,76 @@
         self._reply = reply
         self._pause = pause
         self._resume = resume
-        self._cutter = EventSplitter(last_event)
-        self._held = bytearray()
-        self._is_passing = False
+        self._event_cutter = EventSplitter(last_event)
+        self._buffered = bytearray()
+        self._is_passing_through = False
 
     @property
     def has_started(self) -> bool:
-        """Whether the caller has any of a reply."""
-        return self.is_streaming or self._is_passing
+        """Whether any part of a reply was passed to the caller."""
+        return self.is_streaming or self._is_passing_through
 
     @property
     def is_at_event_boundary(self) -> bool:
-        """Whether no piece of an event is held back."""
-        return self._cutter.is_at_boundary
+        """Whether no partial event is buffered."""
+        return self._event_cutter.is_at_boundary
 
     @property
     def last_event(self) -> bytes | None:
-        """Id of the last event that the caller has."""
-        return self._cutter.last_id
+        """Id of the last event that was passed to the caller."""
+        return self._event_cutter.last_id
 
     @property
     def event_count(self) -> int:
-        """Whole events so far."""
-        return self._cutter.count
+        """Number of complete events so far."""
+        return self._event_cutter.count
 
     def start_call(self) -> None:
-        """Forget what is held of the reply to an earlier call."""
-        self._held.clear()
+        """Discard what is buffered of the reply to an earlier call."""
+        self._buffered.clear()
 
     def drop_partial_event(self) -> None:
-        """Forget the piece of an event that is held back: its run has ended."""
-        self._cutter.discard_partial()
+        """Discard the partial event that is buffered, since its call has failed."""
+        self._event_cutter.discard_partial()
 
     def start_stream(self, head: ReplyHead) -> None:
-        """Begin a stream with the head of its first endpoint."""
+        """Start a stream with the head that its first endpoint sent."""
         self.is_streaming = True
-        self._begin(head)
+        self._start(head)
 
-    def _begin(self, head: ReplyHead) -> None:
+    def _start(self, head: ReplyHead) -> None:
         self._reply.set_flow_control(self._pause, self._resume)
         self._reply.head(head.status, head.headers)
 
     def stream_data(self, data: bytes) -> bool:
-        """Pass on the events that are whole now; return whether there were any.
+        """Pass on the events that are now complete; return whether there were any.
 
         Raises
         ------
         ValueError
-            If an event is over the limit.
+            If an event exceeds the size limit.
         """
-        whole = self._cutter.feed(data)
-        if whole:
-            self._reply.data(whole)
-        return bool(whole)
+        events = self._event_cutter.feed(data)
+        if events:
+            self._reply.data(events)
+        return bool(events)
 
     def plain_data(self, head: ReplyHead, data: bytes) -> None:
-        """Hold more of a plain reply, or pass it on if it is long."""
-        if self._is_passing:
+        """Buffer a part of a plain reply, or pass it on if the reply is long."""
+        if self._is_passing_through:
             self._reply.data(data)
             return
-        self._held += data
-        if len(self._held) > MAX_BUFFERED_BYTES:
-            self._is_passing = True
-            self._begin(head)
-            self._reply.data(bytes(self._held))
-            self._held.clear()
+        self._buffered += data
+        if len(self._buffered) > MAX_BUFFERED_BYTES:
+            self._is_passing_through = True
+            self._start(head)
+            self._reply.data(bytes(self._buffered))
+            self._buffered.clear()
 
     def end(self, head: ReplyHead) -> None:
-        """End the reply as complete."""
+        """Finish the reply as complete."""
         if not self.has_started:
-            self._send_whole(head, bytes(self._held))
+            self._send_whole(head, bytes(self._buffered))
         self._reply.end()
 
     def _send_whole(self, head: ReplyHead, body: bytes) -> None:
@@ -120,5 +120,5 @@
             self._reply.data(body)
 
     def abort(self) -> None:
-        """Break off, so that the reply does not look complete."""
+        """Abort the reply, so that it does not look complete."""
         self._reply.abort()
--- a/umberhitch/tasks/direct/retry_after.py
+++ b/umberhitch/tasks/direct/retry_after.py
@@ -1,10 +1,10 @@
-"""When callers that are refused are told to come again."""
+"""Limits of the retry times that refusals name."""
 
 __all__ = ["HONORED_SHARE", "MIN_RETRY_AFTER_S", "STARTING_RETRY_AFTER_S"]
 
 MIN_RETRY_AFTER_S = 0.1
-"""Soonest time to come back that a refusal names."""
+"""Shortest retry time that a refusal names."""
 STARTING_RETRY_AFTER_S = 0.5
-"""Time to come back that is named while there is no configuration, or no endpoint."""
+"""Retry time while there is no configuration or no endpoint."""
 HONORED_SHARE = 1 / 3
-"""Callers honour a time to come back up to such a share of the time that they have left."""
+"""Callers honor a retry time up to this share of the time until their deadline."""
--- a/umberhitch/tasks/direct/send_gate.py
+++ b/umberhitch/tasks/direct/send_gate.py
@@ -1,8 +1,9 @@
-"""The one place that every call to an endpoint passes: what it may get from all routers together.
+"""Rate limits, back-off and draining of endpoints, which every call to an endpoint has to pass.
 
-A first choice, a retry, a resumed stream, a larger model, a canary, a probe: each asks here which
-endpoints bear one more call, in the same turn in which it is sent. Two bounds are kept: that of a
-cold endpoint, and that of one which names a rate. How they are shared: `core/direct/_fleet_share`.
+First attempts, retries, resumed streams, calls of a larger model, canaries and probes all ask here
+which endpoints may get one more call, in the same reactor turn in which they are sent. Two rate
+limits over all routers together are kept: that of a cold endpoint, and that of an endpoint which
+names a limit. `core/direct/_fleet_share` describes how the routers share them.
 """
 
 from collections.abc import Callable, Iterable
@@ -35,15 +36,16 @@
 log = getLogger(__name__)
 
 OWN_REPLY = "its answer"
-"""Source of what an endpoint said here."""
+"""Source of a signal that this router received in a reply of the endpoint itself."""
 
 RETRY_SPREAD_S = 1.0
-"""Callers that were refused since all endpoints rest come back within so long of the first end."""
+"""Callers refused because all endpoints back off are told to retry within this time after the
+first back-off ends."""
 GOLDEN_RATIO_CONJUGATE = 0.618034
-"""Multiples of it, modulo 1, are spread evenly whatever their number."""
+"""Its multiples modulo 1 are evenly spread, however many are taken."""
 
 Urgency = tuple[int, float]
-"""Priority, 0 the most urgent, and worth as a negative number: the lowest goes first."""
+"""Priority, of which 0 is the most urgent, and negated answer value; the lowest is sent first."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +55,12 @@
 
 
 class SendGate:
-    """Knows which endpoints bear one more call of this router.
+    """Decides which endpoints may get one more call from this router.
 
     Parameters
     ----------
     name : str
-        Of this router.
+        Name of this router.
     clock : Clock
     cold : ColdLimits
     rules : LimitRules
@@ -69,11 +71,12 @@
     limits : AdvertisedLimits
     closed : ClosedEndpoints
     sharing : SignalSharing
-    unknown : UnknownHeaders
-    on_leaving : callable
-        Called with a lifetime that leaves by its own word.
+    unknown_headers : UnknownHeaders
+    on_draining : callable
+        Called with the lifetime of an endpoint that reports that it is draining.
     cold_used_up, limit_used_up : int
-        How often an endpoint was passed over since this router's share was used up, or is none.
+        How often an endpoint was passed over because this router's share of its limit was used up
+        or zero.
     """
 
     def __init__(
@@ -89,7 +92,7 @@
         self.rules = rules or LimitRules()
         self.closed = ClosedEndpoints(name)
         self.sharing = SignalSharing(
-            clock, self.limits, self.closed, self._limit_changed, self._has_left
+            clock, self.limits, self.closed, self._on_limit_change, self._on_draining_signal
         )
         self.on_draining: Callable[[str], None] = lambda lifetime: None
         self.cold_used_up = 0
@@ -99,59 +102,59 @@
         self._is_settled: Callable[[], bool] = lambda: False
         self._jitter = (xxh3_64_intdigest(name.encode()) % 1000) / 1000
         self._refused: dict[str, _Refused] = {}
-        """By service, the most urgent call that found no share left of late."""
-        self._returning: dict[str, int] = {}
-        """By service, callers that were told to come when a rest ends."""
-        self._promised_s: dict[str, float] = {}
-        """By service, the latest time to come back that a refusal has named."""
+        """By service, the most urgent call that recently found no quota left."""
+        self._retrying_callers: dict[str, int] = {}
+        """By service, the number of callers that were told to retry when a back-off ends."""
+        self._promised_retry_s: dict[str, float] = {}
+        """By service, the latest retry time that a refusal has named."""
 
     def follow_membership(self, is_settled: Callable[[], bool]) -> None:
-        """Take whether this router's place among the others is sure."""
+        """Set the function that tells whether the router's cluster membership is settled."""
         self._is_settled = is_settled
 
     def refresh_shares(self) -> None:
-        """Look at the seat; to be called each second."""
+        """Refresh this router's share of the limits; to be called each second."""
         self.shares.update_registration(self._is_settled(), self._clock.seconds())
 
     def forget(self, lifetimes: Iterable[str]) -> None:
-        """Keep only what concerns endpoints that are still known."""
+        """Drop the state of all endpoints except those whose lifetimes are given."""
         keep = set(lifetimes)
         self.sharing.retain(keep)
         self.shares.forget(keep)
         self.limits.forget(keep)
         self.closed.forget(keep, self._clock.seconds())
 
-    # What may be sent
+    # Sending
 
     def open_filter(self) -> Callable[[Endpoint], bool] | None:
-        """Return what tells whether an endpoint is open by its own word; None where all are."""
+        """Return a predicate for endpoints that neither drain nor back off; None if none does."""
         if not self.closed:
             return None
         now_s = self._clock.seconds()
         return lambda endpoint: self.closed.accepts(endpoint.lifetime, now_s)
 
     def has_bounds(self, service: Service | None) -> bool:
-        """Whether any endpoint of a service may have a bound."""
+        """Whether any endpoint of a service may have a rate limit."""
         return len(self.limits) > 0 or (service is not None and service.cold_rate > 0.0)
 
     def with_quota(
         self, service: Service | None, endpoints: list[Endpoint], urgency: Urgency
     ) -> list[Endpoint]:
-        """Return the endpoints that bear one more call of this router."""
+        """Return the endpoints whose limits allow one more call from this router."""
         cold_rate = 0.0 if service is None else service.cold_rate
         now_s = self._clock.seconds()
         self.refresh_shares()
-        kept = 0 if service is None else self._reserved_calls(service.name, urgency, now_s)
-        found = [
+        reserved = 0 if service is None else self._reserved_calls(service.name, urgency, now_s)
+        allowed = [
             each
             for each in endpoints
-            if self._bears_cold(each, cold_rate, now_s) and self._bears_limit(each, kept, now_s)
+            if self._cold_ok(each, cold_rate, now_s) and self._limit_ok(each, reserved, now_s)
         ]
-        if endpoints and not found and service is not None:
+        if endpoints and not allowed and service is not None:
             self._record_refused(service.name, urgency, now_s)
-        return found
+        return allowed
 
-    def _bears_cold(self, endpoint: Endpoint, rate: float, now_s: float) -> bool:
+    def _cold_ok(self, endpoint: Endpoint, rate: float, now_s: float) -> bool:
         if not rate or not endpoint.is_cold(now_s):
             return True
         if not self.shares.is_registered:
@@ -160,27 +163,27 @@
         self.cold_used_up += 0.0 < wait_s < inf
         return wait_s == 0.0
 
-    def _bears_limit(self, endpoint: Endpoint, kept: int, now_s: float) -> bool:
+    def _limit_ok(self, endpoint: Endpoint, reserved: int, now_s: float) -> bool:
         limit = self.limits.get(endpoint.lifetime)
         if limit is None:
             return True
-        is_free = self._limit_wait_s(endpoint.lifetime, limit, kept, now_s) == 0.0
-        is_free = is_free or self._may_look(limit, now_s)
+        is_free = self._limit_wait_s(endpoint.lifetime, limit, reserved, now_s) == 0.0
+        is_free = is_free or self._may_probe_limit(limit, now_s)
         self.limit_used_up += not is_free
         return is_free
 
     def _limit_wait_s(
-        self, lifetime: str, limit: AdvertisedLimit, kept: int, now_s: float
+        self, lifetime: str, limit: AdvertisedLimit, reserved: int, now_s: float
     ) -> float:
         if not self.shares.has_router_list(now_s):
             return inf
-        return self.shares.wait_s(lifetime, self.rules.bound(limit.rate), now_s, kept)
+        return self.shares.wait_s(lifetime, self.rules.bound(limit.rate), now_s, reserved)
 
-    def _may_look(self, limit: AdvertisedLimit, now_s: float) -> bool:
+    def _may_probe_limit(self, limit: AdvertisedLimit, now_s: float) -> bool:
         return self.limits.may_recheck(limit, self.shares.router_count, self._jitter, now_s)
 
     def _reserved_calls(self, service: str, urgency: Urgency, now_s: float) -> int:
-        """Return how much of a share is left: for a more urgent call that found none of late."""
+        """Return how many calls to reserve for a more urgent call that recently found no quota."""
         refused = self._refused.get(service)
         if refused is None or now_s > refused.at_s + self.rules.span_s:
             return 0
@@ -193,7 +196,7 @@
             self._refused[service] = _Refused(urgency, now_s)
 
     def record_sent(self, endpoint: Endpoint, service: Service | None) -> None:
-        """Count a call that is sent."""
+        """Record that a call is sent."""
         self.closed.note_sent(endpoint.lifetime, self._clock.seconds())
         limit = self.limits.get(endpoint.lifetime)
         if limit is None and (service is None or not service.cold_rate):
@@ -208,56 +211,57 @@
         service: str,
         endpoints: list[Endpoint],
         urgency: Urgency,
-        soonest_s: float,
+        min_retry_s: float,
         left_s: float,
     ) -> float:
-        """Return when a call that no endpoint of a service takes should come again.
+        """Return the seconds after which to retry a call that no endpoint of a service takes.
 
-        Callers come back to any router, so each router names times as far apart as the limits let
-        its part of the callers through. Where all rest it is when the first rest ends, and urgent
-        calls come first. Where any endpoint neither rests nor names a limit it is ``soonest_s``.
+        Callers may retry at any router, so each router spaces the times that it names by the rate
+        at which the limits admit its share of the callers. If all endpoints back off, the time is
+        the end of the first back-off, and urgent calls come first. If any endpoint neither backs
+        off nor names a limit, the time is ``min_retry_s``.
         """
         now_s = self._clock.seconds()
         rates, waits_s = [], []
         for each in endpoints:
-            rest_s = self.closed.wait_s(each.lifetime, now_s)
+            wait_s = self.closed.wait_s(each.lifetime, now_s)
             limit = self.limits.get(each.lifetime)
-            if rest_s == 0.0 and limit is None:
-                return soonest_s
-            if rest_s == 0.0 and limit is not None:
+            if wait_s == 0.0 and limit is None:
+                return min_retry_s
+            if wait_s == 0.0 and limit is not None:
                 rates.append(self.rules.bound(limit.rate).rate)
-                rest_s = self._limit_wait_s(each.lifetime, limit, 0, now_s)
-            waits_s.append(rest_s)
+                wait_s = self._limit_wait_s(each.lifetime, limit, 0, now_s)
+            waits_s.append(wait_s)
         first_s = min(waits_s)
         if rates:
-            at_s = self._limits_come_back_s(service, first_s, rates, now_s)
+            at_s = self._limits_retry_at_s(service, first_s, rates, now_s)
         else:
             self._record_refused(service, urgency, now_s)
             at_s = now_s + first_s + self._retry_spread_s(service, urgency)
         at_s = min(at_s, now_s + max(MIN_RETRY_AFTER_S, HONORED_SHARE * left_s))
         if rates:
-            self._promised_s[service] = at_s
+            self._promised_retry_s[service] = at_s
         return max(MIN_RETRY_AFTER_S, at_s - now_s)
 
-    def _limits_come_back_s(
+    def _limits_retry_at_s(
         self, service: str, first_s: float, rates: list[float], now_s: float
     ) -> float:
-        """Return the next time at which the limits let a caller of this router through."""
-        gap_s = self.shares.router_count / sum(rates)
-        first_s = max(MIN_RETRY_AFTER_S, gap_s if first_s == inf else first_s)
-        return max(now_s + first_s, self._promised_s.get(service, now_s) + gap_s)
+        """Return the next time at which the limits admit a caller of this router."""
+        interval_s = self.shares.router_count / sum(rates)
+        first_s = max(MIN_RETRY_AFTER_S, interval_s if first_s == inf else first_s)
+        return max(now_s + first_s, self._promised_retry_s.get(service, now_s) + interval_s)
 
     def _retry_spread_s(self, service: str, urgency: Urgency) -> float:
-        """Return how much later than the end of a rest a caller is to come: urgent ones first."""
-        number = self._returning[service] = self._returning.get(service, 0) + 1
+        """Return the delay of a retry after the end of a back-off; urgent callers come first."""
+        number = self._retrying_callers[service] = self._retrying_callers.get(service, 0) + 1
         share = (number * GOLDEN_RATIO_CONJUGATE) % 1.0
         is_urgent = urgency <= self._refused[service].urgency
         return RETRY_SPREAD_S * (share if is_urgent else 1.0 + share) / 2
 
-    # What is known
+    # Signals of endpoints
 
     def apply_head(self, lifetime: str, head: ReplyHead) -> None:
-        """Take what the head of any reply of an endpoint says."""
+        """Apply the signals in the head of any reply of an endpoint."""
         if head.is_wrong_incarnation:
             return
         now_s = self._clock.seconds()
@@ -265,34 +269,34 @@
         if head.signals.is_draining and self.closed.apply_draining(
             lifetime, now_s, OWN_REPLY, now_s
         ):
-            self._has_left(lifetime, OWN_REPLY)
+            self._on_draining_signal(lifetime, OWN_REPLY)
             self.sharing.note_draining(lifetime)
-        self._hear_rest(lifetime, head, now_s)
-        self._hear_limit(lifetime, head, now_s)
+        self._apply_backoff(lifetime, head, now_s)
+        self._apply_limit(lifetime, head, now_s)
 
-    def _has_left(self, lifetime: str, source: str) -> None:
+    def _on_draining_signal(self, lifetime: str, source: str) -> None:
         self._log(lifetime, SignalKind.DRAINING, "begun", source)
         self.on_draining(lifetime)
 
-    def _hear_rest(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
-        rest_s = head.signals.backoff_s
-        if rest_s is not None:
-            if self.closed.apply_backoff(lifetime, rest_s, self.shares.router_count, now_s):
-                self._log(lifetime, SignalKind.BACKOFF, "begun", OWN_REPLY, rest_s=rest_s)
+    def _apply_backoff(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
+        backoff_s = head.signals.backoff_s
+        if backoff_s is not None:
+            if self.closed.apply_backoff(lifetime, backoff_s, self.shares.router_count, now_s):
+                self._log(lifetime, SignalKind.BACKOFF, "begun", OWN_REPLY, rest_s=backoff_s)
         elif not head.not_run and self.closed.note_answer(lifetime, now_s):
             self._log(lifetime, SignalKind.BACKOFF, "ended", OWN_REPLY)
 
-    def _hear_limit(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
+    def _apply_limit(self, lifetime: str, head: ReplyHead, now_s: float) -> None:
         limit = head.signals.limit
         rate = limit.per_second
         if limit.is_malformed or (rate is None and (head.not_run or not len(self.limits))):
-            return  # a refusal that names none may be in short; an answer tells that it is over
+            return  # only an answer without a limit ends it; a refusal may omit the limit
         change = self.limits.apply_answer(lifetime, rate, now_s)
         if change is not LimitChange.NONE:
-            self._limit_changed(lifetime, change, OWN_REPLY)
+            self._on_limit_change(lifetime, change, OWN_REPLY)
             self.sharing.note_limit_changed(lifetime)
 
-    def _limit_changed(self, lifetime: str, change: LimitChange, source: str) -> None:
+    def _on_limit_change(self, lifetime: str, change: LimitChange, source: str) -> None:
         limit = self.limits.get(lifetime)
         if limit is None:
             self._log(lifetime, SignalKind.LIMIT, change.value, source)
@@ -307,6 +311,6 @@
     def _log(
         self, lifetime: str, signal: SignalKind, change: str, source: str, **facts: object
     ) -> None:
-        """Write the one line of a change of what an endpoint says."""
+        """Log a change of a signal of an endpoint."""
         facts |= {"endpoint": lifetime, "signal": signal, "change": change, "source": source}
         log.info("endpoint signal", extra=facts)
--- a/umberhitch/tasks/direct/services.py
+++ b/umberhitch/tasks/direct/services.py
@@ -1,4 +1,4 @@
-"""What a request on the direct path needs of its router, and what the router says of it."""
+"""Interfaces between a proxied request on the direct path and its router."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -31,18 +31,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyTimeouts:
-    """Times in seconds, or as multiples of what the route says.
+    """Timeouts of calls to endpoints, most of them as multiples of the route's own times.
 
     Attributes
     ----------
-    try_objectives : float
-        A call that may be repeated gets so many times the objective before it is tried elsewhere.
+    attempt_objectives : float
+        Timeout of a call of an idempotent route, as a multiple of the route's latency objective.
+        After it the request is sent to another endpoint.
     first_event_objectives : float
-        The same for the first event of a stream.
+        Timeout for the first event of a stream, as a multiple of the route's latency objective.
     gap_factor : float
-        A stream that pauses for so many times its longest good pause counts as broken.
-    least_try_s : float
-        No call is given up before.
+        Timeout between the events of a stream, as a multiple of the route's longest normal gap.
+        A stream that exceeds it counts as broken.
+    min_attempt_s : float
+        Lower bound of the timeout of a call and of the first event, in seconds.
     """
 
     attempt_objectives: float = 2.5
@@ -51,7 +53,7 @@
     min_attempt_s: float = 0.25
 
     def attempt_timeout_s(self, route: Route) -> float | None:
-        """Return how long a call may be silent before it is tried elsewhere, if it may be."""
+        """Return the timeout of a call in seconds, or None if the route must not be retried."""
         match route.kind:
             case RouteKind.STREAM if route.is_repeatable:
                 return max(self.min_attempt_s, self.first_event_objectives * route.objective_s)
@@ -62,7 +64,7 @@
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """What the configuration says of a request that it admits."""
+    """A request that the configuration admits, with the settings that apply to it."""
 
     request: CallerRequest
     route: Route
@@ -70,9 +72,9 @@
     customer: Customer | None
     received_s: float
     wants_target: bool | None
-    """Whether it goes to the new version of a roll-out; None without one."""
+    """Whether the request goes to the new version of a roll-out; None without a roll-out."""
     request_key: str = ""
-    """Names the request when it comes again, see `request_key`."""
+    """Identifies the request when a caller retries it, see `request_key`."""
 
 
 @dataclass(slots=True)
@@ -81,14 +83,14 @@
 
     Attributes
     ----------
-    permit : AdmittedRequest
+    admitted : AdmittedRequest
     endpoint : Endpoint
-    began_s : float
-        When it was sent.
+    sent_s : float
+        Time at which the call was sent.
     is_probe : bool
-        Whether the request is held, and this call is to show whether it still ends endpoints.
+        Whether the request is held, and this call tests whether it still crashes endpoints.
     head_s : float or None
-        When the head of the reply came: the endpoint had begun to run it.
+        Time at which the head of the reply arrived: the endpoint had started to run the request.
     """
 
     admitted: AdmittedRequest
@@ -99,197 +101,197 @@
 
     @property
     def service_version(self) -> str:
-        """Return service and version that runs it."""
+        """Return the service and the version that run the request."""
         return service_version_of(self.endpoint)
 
 
 def service_version_of(endpoint: Endpoint) -> str:
-    """Return the service of an endpoint and the version that it runs."""
+    """Return the service and the version of an endpoint."""
     return f"{endpoint.entry.service}/{endpoint.entry.version}"
 
 
 class RequestState(CallEvents, Protocol):
-    """One request under way, as its router sees it."""
+    """A request in progress, as its router sees it."""
 
     admitted: AdmittedRequest
     first_event_s: float | None
 
     @property
     def last_event(self) -> bytes | None:
-        """Id of the last event that the caller has."""
+        """Id of the last event that was passed to the caller."""
         ...
 
     @property
     def remaining_s(self) -> float:
-        """Time until the final answer is due."""
+        """Seconds until the deadline of the final answer."""
         ...
 
     @property
     def sends(self) -> int:
-        """Calls so far that reached an endpoint, or may have."""
+        """Number of calls so far that reached an endpoint or may have reached one."""
         ...
 
     @property
     def model(self) -> str | None:
-        """Model that was asked last."""
+        """Model of the last call."""
         ...
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """Endpoint that was asked last."""
+        """Endpoint of the last call."""
         ...
 
     def abort(self) -> None:
-        """Break off: the process stops."""
+        """Abort the request because the process stops."""
         ...
 
 
 class EndpointSelectorPort(Protocol):
-    """Chooses model and endpoint for each call of a request.
+    """Selects the model and the endpoint of each call of a request.
 
     Attributes
     ----------
-    reason : str
-        Why the last choice found no endpoint.
+    failure_reason : str
+        Why the last selection found no endpoint.
     """
 
     failure_reason: str
 
-    def first_model(self, permit: AdmittedRequest) -> str | None:
-        """Return the model to begin with."""
+    def first_model(self, admitted: AdmittedRequest) -> str | None:
+        """Return the model of the first call."""
         ...
 
     def larger_model(
-        self, permit: AdmittedRequest, model: str, confidence: int | None, waited_s: float
+        self, admitted: AdmittedRequest, model: str, confidence: int | None, waited_s: float
     ) -> str | None:
-        """Return the model to ask instead, or None to keep the answer."""
+        """Return the larger model to call instead, or None to keep the answer."""
         ...
 
     def select_endpoint(
-        self, permit: AdmittedRequest, model: str | None, tried: set[str]
+        self, admitted: AdmittedRequest, model: str | None, tried: set[str]
     ) -> Candidate | None:
-        """Return where a call goes, or None where no endpoint takes work."""
+        """Return the candidate for the next call, or None if no endpoint accepts it."""
         ...
 
 
 class CrashGuardPort(Protocol):
-    """Knows under which requests endpoints end, and is told of all calls."""
+    """Tracks which requests crash endpoints, from the outcome of each call."""
 
-    def is_held(self, permit: AdmittedRequest) -> bool:
-        """Whether a request is run by probes only."""
+    def is_held(self, admitted: AdmittedRequest) -> bool:
+        """Whether a request is held, so that only probes may run it."""
         ...
 
-    def start_run(self, permit: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
-        """Take note that a call is sent; what is returned names it in the others."""
+    def start_run(self, admitted: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
+        """Record that a call is sent; return the run that identifies it in the other methods."""
         ...
 
     def record_head(self, run: Run) -> None:
-        """Take note that it has the head of its reply."""
+        """Record that the head of the reply has arrived."""
         ...
 
     def record_completed(self, run: Run) -> None:
-        """Take note that it has its whole reply: its endpoint lives after it."""
+        """Record that the reply is complete: the endpoint survived the run."""
         ...
 
     def record_not_run(self, run: Run) -> None:
-        """Take note that the endpoint has not run it."""
+        """Record that the endpoint did not run the request."""
         ...
 
     def record_cancelled(self, run: Run) -> None:
-        """Take note that it was given up here."""
+        """Record that this router cancelled the call."""
         ...
 
     def record_broken(self, run: Run) -> None:
-        """Take note that it broke, or was silent for too long."""
+        """Record that the connection broke, or that the call timed out."""
         ...
 
     def record_not_sent(self, run: Run) -> None:
-        """Take note that there was no connection for it."""
+        """Record that no connection could be made for the call."""
         ...
 
 
 class Services(Protocol):
-    """What a request needs of its router."""
+    """Services of the router that a proxied request uses."""
 
     clock: Clock
     timeouts: ProxyTimeouts
 
     @property
     def selector(self) -> EndpointSelectorPort:
-        """Chooses model and endpoint."""
+        """Selects the model and the endpoint of each call."""
         ...
 
     @property
     def crash_guard(self) -> CrashGuardPort:
-        """Knows under which requests endpoints end."""
+        """Tracks which requests crash endpoints."""
         ...
 
     def send(
-        self, permit: AdmittedRequest, endpoint: Endpoint, model: str | None, call: RequestState
+        self, admitted: AdmittedRequest, endpoint: Endpoint, model: str | None, call: RequestState
     ) -> tuple[RunningCall, PlacedCall]:
-        """Send the request to an endpoint."""
+        """Send the request to an endpoint, and count the call as placed there."""
         ...
 
     def acquire_retry(self, service: str) -> bool:
-        """Take one repeat from the shared budget, if there is one."""
+        """Take one retry from the shared retry budget; return whether there was one."""
         ...
 
     def judge_latency(
         self,
-        permit: AdmittedRequest,
+        admitted: AdmittedRequest,
         endpoint: Endpoint,
         model: str | None,
         latency_s: float,
         since_s: float,
     ) -> AnswerVerdict:
-        """Take note of a pace measured from a time on, and return what it says of the answer."""
+        """Record a latency measured from ``since_s`` on, and return the verdict on the answer."""
         ...
 
     def record_verdict(
-        self, permit: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
+        self, admitted: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
     ) -> None:
-        """Take note of how an endpoint answered."""
+        """Record the verdict on an answer of an endpoint."""
         ...
 
     def mark_unreachable(self, endpoint: Endpoint, has_exited: bool = False) -> None:
-        """Take note that an endpoint could not be reached or went silent.
+        """Record that an endpoint could not be reached or stopped answering.
 
         Parameters
         ----------
         endpoint : Endpoint
         has_exited : bool
-            Whether nothing listens at its address any more.
+            Whether the connection was refused, because no process listens at the address.
         """
         ...
 
     def mark_address_reused(self, endpoint: Endpoint) -> None:
-        """Take note that another incarnation has the endpoint's address."""
+        """Record that another incarnation now uses the endpoint's address."""
         ...
 
-    def record_head(self, placed: PlacedCall, head: ReplyHead) -> None:
-        """Take note that a reply has begun."""
+    def record_head(self, placed_call: PlacedCall, head: ReplyHead) -> None:
+        """Record the head of the reply to a call."""
         ...
 
     def record_late_head(self, endpoint: Endpoint, head: ReplyHead) -> None:
-        """Take note of a reply of an endpoint to a call that nobody waits for any more."""
+        """Record the head of a reply to a call that was given up before."""
         ...
 
-    def release_call(self, placed: PlacedCall, is_failure: bool | None) -> None:
-        """Count a call no more."""
+    def release_call(self, placed_call: PlacedCall, is_failure: bool | None) -> None:
+        """Stop counting a call as running."""
         ...
 
     def send_refusal(
-        self, reply: CallerReply, permit: AdmittedRequest, status: int, reason: str
+        self, reply: CallerReply, admitted: AdmittedRequest, status: int, reason: str
     ) -> None:
-        """Send an answer of the router's own."""
+        """Refuse a request with a reply made by the router itself."""
         ...
 
     def request_finished(self, proxied: RequestState, outcome: str) -> None:
-        """Take note that a request has its final answer."""
+        """Record the final outcome of a request."""
         ...
 
     def log_decision(
         self, proxied: RequestState, message: str, is_failure: bool, **facts: object
     ) -> None:
-        """Write a decision to the log."""
+        """Write a decision about a request to the log."""
         ...
--- a/umberhitch/tasks/direct/signal_table.py
+++ b/umberhitch/tasks/direct/signal_table.py
@@ -1,7 +1,7 @@
-"""What endpoints have said of themselves, as it stands at one router: one table for operators.
+"""Table for operators of the signals of endpoints that are active at one router.
 
-The load that an endpoint reports is not in it: it is an estimate that loses its weight with its
-age, stands for every endpoint, and binds nobody.
+The load that an endpoint reports is not listed: it is an estimate that loses weight with age,
+exists for every endpoint, and restricts nothing.
 """
 
 from collections.abc import Iterator
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveSignal:
-    """One thing that one lifetime of an endpoint has said.
+    """A signal from one lifetime of an endpoint.
 
     Attributes
     ----------
     lifetime : str
     kind : SignalKind
     source : str
-        How it is known.
+        How this router learned of the signal.
     age_s : float or None
-        Since it was said last, where that is known.
+        Seconds since the signal was last received, if that is known.
     left_s : float or None
-        Until it ends, where it ends by itself.
+        Seconds until the signal expires, if it expires by itself.
     details : dict of str to float
-        What belongs to its kind.
+        Further values, which depend on the kind.
     """
 
     lifetime: str
@@ -40,25 +40,27 @@
 
 
 def active_signals(gate: SendGate, directory: Directory, now_s: float) -> list[ActiveSignal]:
-    """Return what stands now, by kind and endpoint."""
+    """Return the active signals, by kind and endpoint."""
     return [
-        *_leaving(gate, now_s),
-        *_rests(gate, now_s),
+        *_draining(gate, now_s),
+        *_backoffs(gate, now_s),
         *_limits(gate, now_s),
         *_cold(directory, now_s),
     ]
 
 
-def _leaving(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
-    for lifetime, word in gate.closed.draining.items():
-        yield ActiveSignal(lifetime, SignalKind.DRAINING, word.source, now_s - word.received_s)
+def _draining(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
+    for lifetime, draining in gate.closed.draining.items():
+        yield ActiveSignal(
+            lifetime, SignalKind.DRAINING, draining.source, now_s - draining.received_s
+        )
 
 
-def _rests(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
-    for lifetime, rest in gate.closed.backoffs.items():
-        age_s, left_s = now_s - rest.received_s, max(0.0, rest.until_s - now_s)
-        opens = {"opens_in_s": round(max(0.0, rest.resume_s - now_s), 3)}
-        yield ActiveSignal(lifetime, SignalKind.BACKOFF, "its answer", age_s, left_s, opens)
+def _backoffs(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
+    for lifetime, backoff in gate.closed.backoffs.items():
+        age_s, remaining_s = now_s - backoff.received_s, max(0.0, backoff.until_s - now_s)
+        details = {"opens_in_s": round(max(0.0, backoff.resume_s - now_s), 3)}
+        yield ActiveSignal(lifetime, SignalKind.BACKOFF, "its answer", age_s, remaining_s, details)
 
 
 def _limits(gate: SendGate, now_s: float) -> Iterator[ActiveSignal]:
@@ -77,5 +79,5 @@
 
 def _cold(directory: Directory, now_s: float) -> Iterator[ActiveSignal]:
     for each in directory.cold_endpoints(now_s):
-        left_s = max(each.cold_until_s, each.presumed_cold_until_s) - now_s
-        yield ActiveSignal(each.lifetime, SignalKind.COLD, each.cold_source, None, left_s)
+        remaining_s = max(each.cold_until_s, each.presumed_cold_until_s) - now_s
+        yield ActiveSignal(each.lifetime, SignalKind.COLD, each.cold_source, None, remaining_s)
--- a/umberhitch/tasks/direct/startup_wait.py
+++ b/umberhitch/tasks/direct/startup_wait.py
@@ -1,4 +1,4 @@
-"""Callers wait while a router that has just started reads the store."""
+"""Delay of incoming connections until a router that has just started has read the store."""
 
 from collections.abc import Callable
 
@@ -7,33 +7,33 @@
 __all__ = ["MAX_STARTUP_WAIT_S", "accept_when_loaded"]
 
 MAX_STARTUP_WAIT_S = 0.4
-"""Longest wait. The store answers within some ms, so that nearly all who come during a start are
-served; where it is away, they are told soon when to come back."""
+"""Maximum delay. The store answers within a few ms, so nearly all callers who connect during a
+start are served. If the store is unreachable, they are soon told when to retry."""
 POLL_INTERVAL_S = 0.005
-"""How often it is looked whether the router has what it needs."""
+"""Interval at which it is checked whether the router is loaded."""
 
 
 def accept_when_loaded(
     clock: Clock, is_loaded: Callable[[], bool], accept: Callable[[], None]
 ) -> None:
-    """Begin to take callers once all is loaded that answers need, or after `MAX_STARTUP_WAIT_S`.
+    """Accept connections once the router is loaded, or after `MAX_STARTUP_WAIT_S`.
 
-    Their connections are accepted by the kernel meanwhile, and nothing of them is read.
+    Until then the kernel accepts connections into its backlog, and nothing is read from them.
 
     Parameters
     ----------
     clock : Clock
     is_loaded : callable
-        Whether there are a configuration and a directory.
+        Returns whether a configuration and an endpoint directory are loaded.
     accept : callable
-        Begins to take callers; called once.
+        Starts accepting connections; called once.
     """
-    end_s = clock.seconds() + MAX_STARTUP_WAIT_S
+    deadline_s = clock.seconds() + MAX_STARTUP_WAIT_S
 
-    def look() -> None:
-        if is_loaded() or clock.seconds() >= end_s:
+    def check() -> None:
+        if is_loaded() or clock.seconds() >= deadline_s:
             accept()
         else:
-            clock.callLater(POLL_INTERVAL_S, look)
+            clock.callLater(POLL_INTERVAL_S, check)
 
-    look()
+    check()
--- a/umberhitch/tasks/direct/tests/test_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_fuzz.py
@@ -264,7 +264,7 @@
         for each in self.asked:
             assert each.ask.reply.is_over, each
         for router in self.world.routers.values():
-            assert not router.gateway.running
+            assert not router.gateway.running_requests
             assert router.gateway.placement.own_load() == {}
         self.no_request_runs_twice_that_must_not()
         self.answers_are_whole_or_do_not_look_so()
--- a/umberhitch/tasks/direct/tests/test_herding.py
+++ b/umberhitch/tasks/direct/tests/test_herding.py
@@ -1,8 +1,9 @@
-"""Routers that know little of each other do not all choose the same of endpoints that look alike.
+"""Routers with little knowledge of each other do not all choose the same of equal endpoints.
 
-Seen: three routers, twelve idle endpoints, 30 requests a second: all went to the first few; when
-these refused within 10 ms, none was served while eight endpoints were idle. Cause: the first of
-equals was the same at every router, and one that refuses fast has nothing under way.
+With three routers, twelve idle endpoints and 30 requests per second, all requests went to the same
+few endpoints. When these refused within 10 ms, no request was served while eight endpoints were
+idle: all routers broke ties in the same order, and an endpoint that refuses fast has no running
+calls, so it looked idle.
 """
 
 from umberhitch.fakes import Reply
@@ -12,7 +13,7 @@
 CROWD = 30.0
 
 
-def test_callers_are_served_by_idle_endpoints_while_the_usual_ones_refuse_fast():
+def test_callers_are_served_by_idle_endpoints_while_the_preferred_ones_refuse_fast():
     world, endpoints = limits._world(3, 0, 12, None)
     for each in endpoints:
         each.reply = Reply(delay_s=0.05)
@@ -20,24 +21,24 @@
     busiest = sorted(endpoints, key=lambda each: -len(each.calls))[:4]
     for each in busiest:
         each.reply = REFUSED
-    asks = limits._crowd(world, 3.0, CROWD)
+    reqs = limits._crowd(world, 3.0, CROWD)
     world.run(1.0)
-    assert sum(ask.status == 200 for ask in asks) >= 0.95 * len(asks)
+    assert sum(req.status == 200 for req in reqs) >= 0.95 * len(reqs)
 
 
-def test_callers_are_served_while_two_thirds_refuse_fast():
+def test_callers_are_served_while_two_thirds_of_the_endpoints_refuse_fast():
     world, endpoints = limits._world(3, 0, 12, None)
     for each in endpoints:
         each.reply = Reply(delay_s=0.05)
     for each in endpoints[:8]:
         each.reply = REFUSED
     limits._crowd(world, 1.0, CROWD)
-    asks = limits._crowd(world, 3.0, CROWD)
+    reqs = limits._crowd(world, 3.0, CROWD)
     world.run(1.0)
-    assert sum(ask.status == 200 for ask in asks) >= 0.95 * len(asks)
+    assert sum(req.status == 200 for req in reqs) >= 0.95 * len(reqs)
 
 
-def test_the_usual_endpoints_of_routers_differ():
+def test_routers_prefer_different_endpoints():
     world, endpoints = limits._world(6, 0, 12, None)
     for each in endpoints:
         each.reply = Reply(delay_s=0.02)
@@ -46,7 +47,7 @@
     assert most <= 0.6 * sum(len(each.calls) for each in endpoints)
 
 
-def test_an_endpoint_that_refuses_is_tried_again_when_others_are_busy():
+def test_an_endpoint_that_refused_is_retried_when_others_are_busy():
     world, endpoints = limits._world(1, 0, 2, None)
     for each in endpoints:
         each.reply = Reply(delay_s=0.3)
--- a/umberhitch/tasks/direct/tests/test_lifetimes.py
+++ b/umberhitch/tasks/direct/tests/test_lifetimes.py
@@ -29,11 +29,11 @@
     assert req.status == 200
     placement = router.gateway.placement
     before = router.gateway.directory.get("e1").lifetime
-    assert [*placement._seen[before].cached] == [("", "aa")]
+    assert [*placement._observed[before].cached] == [("", "aa")]
     _restart(world)
     after = router.gateway.directory.get("e1").lifetime
-    assert before not in placement._seen
-    assert after not in placement._seen or not placement._seen[after].cached
+    assert before not in placement._observed
+    assert after not in placement._observed or not placement._observed[after].cached
 
 
 def test_idle_connections_to_the_previous_process_are_closed():
@@ -51,7 +51,7 @@
     _restart(world)
     world.run(1.0)
     lifetime = router.gateway.directory.get("e1").lifetime
-    seen = router.gateway.placement._seen
+    seen = router.gateway.placement._observed
     assert list(seen) in ([], [lifetime])
     assert all(each.load is None for each in seen.values())
 
--- a/umberhitch/tasks/direct/tests/test_limit_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_limit_fuzz.py
@@ -217,7 +217,7 @@
 
 
 def nothing_is_heard(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SendGate, "heard", lambda self, endpoint, head: None)
+    patch.setattr(SendGate, "apply_head", lambda self, endpoint, head: None)
 
 
 @pytest.mark.parametrize(
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -18,12 +18,12 @@
 
 
 def nothing_is_heard(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SendGate, "heard", lambda self, endpoint, head: None)
+    patch.setattr(SendGate, "apply_head", lambda self, endpoint, head: None)
     return lambda: limits.test_engines_that_name_a_limit_get_no_more_from_four_routers_together(1.6)
 
 
 def the_choice_ignores_it(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(EndpointSelector, "_bearing", lambda self, permit, found: found)
+    patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, found: found)
     return lambda: limits.test_no_kind_of_send_goes_past_a_named_limit(limits.zones.KINDS[0])
 
 
@@ -77,7 +77,7 @@
         clear = replace(head.signals.limit, is_malformed=False)
         heard(self, endpoint, replace(head, signals=replace(head.signals, limit=clear)))
 
-    patch.setattr(SendGate, "heard", hear_all)
+    patch.setattr(SendGate, "apply_head", hear_all)
     return limits.test_an_odd_word_neither_opens_nor_closes_an_endpoint
 
 
@@ -113,12 +113,12 @@
 
 
 def nobody_goes_first(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SendGate, "_kept", lambda self, service, urgency, now_s: 0)
+    patch.setattr(SendGate, "_reserved_calls", lambda self, service, urgency, now_s: 0)
     return limits.test_urgent_work_goes_first
 
 
 def all_are_told_to_come_at_once(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(SendGate, "come_back_s", lambda self, *args: 0.1)
+    patch.setattr(SendGate, "retry_after_s", lambda self, *args: 0.1)
     return limits.test_what_nobody_can_take_is_refused_at_once_and_told_when_there_is_room
 
 
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -29,7 +29,7 @@
     refuse = Gateway.send_refusal
     patch.setattr(
         Gateway,
-        "refuse",
+        "send_refusal",
         lambda self, reply, permit, status, reason: refuse(self, reply, permit, 503, reason),
     )
 
@@ -85,7 +85,7 @@
 
 
 def hold_what_has_ended(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Gateway, "release", lambda self, placed, is_failure: None)
+    patch.setattr(Gateway, "release_call", lambda self, placed, is_failure: None)
 
 
 MUTATIONS = (
--- a/umberhitch/tasks/direct/tests/test_proxied_request.py
+++ b/umberhitch/tasks/direct/tests/test_proxied_request.py
@@ -1,4 +1,4 @@
-"""One request on the direct path, against endpoints that fail in every way."""
+"""Single requests on the direct path, with endpoints that fail in different ways."""
 
 from umberhitch.core.direct import EndpointState, RouteKind
 from umberhitch.fakes import Reply
@@ -19,9 +19,9 @@
 def test_a_request_is_passed_on_with_the_customers_name_and_not_its_key():
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
-    ask = world.ask(world.ready_router(), "/look/x")
+    req = world.ask(world.ready_router(), "/look/x")
     world.run(0.1)
-    assert (ask.status, ask.reply.body, ask.reply.is_complete) == (200, b"ok", True)
+    assert (req.status, req.reply.body, req.reply.is_complete) == (200, b"ok", True)
     headers = dict(endpoint.calls[0].headers)
     assert headers[b"Customer"] == b"c1"
     assert headers[b"Incarnation"] == b"e1"
@@ -38,14 +38,14 @@
     assert endpoint.calls == []
 
 
-def test_a_router_without_a_configuration_says_when_to_come_back():
+def test_a_router_without_a_configuration_refuses_with_a_retry_time():
     world = DirectWorld()
-    ask = world.ask(world.add_router(), "/look/x")
-    assert ask.status == 503
-    assert b"Come-Back" in ask.reply.headers
+    req = world.ask(world.add_router(), "/look/x")
+    assert req.status == 503
+    assert b"Come-Back" in req.reply.headers
 
 
-def test_what_may_have_run_is_tried_again_only_where_it_may_be_repeated():
+def test_a_request_that_may_have_run_is_retried_only_on_repeatable_routes():
     world = DirectWorld()
     endpoints = [world.add_endpoint(name) for name in ("e1", "e2")]
     for endpoint in endpoints:
@@ -60,8 +60,8 @@
     assert look.status == 200
 
 
-def test_a_refusal_that_says_not_run_is_true():
-    """Shed by one endpoint and broken at another: it may have run, so no 503."""
+def test_requests_are_refused_as_not_run_only_if_no_call_can_have_run():
+    """A request that one endpoint shed and that broke at another may have run: no 503."""
     world = DirectWorld()
     first, second = world.add_endpoint("e1"), world.add_endpoint("e2")
     for endpoint in (first, second):
@@ -78,22 +78,22 @@
     assert broken.status == 502
 
 
-def test_an_endpoint_that_cannot_be_reached_costs_no_attempt():
+def test_an_unreachable_endpoint_uses_up_no_attempt():
     world = DirectWorld()
     endpoints = [world.add_endpoint(name) for name in ("e1", "e2")]
     for endpoint in endpoints:
         endpoint.replies = [UNREACHED]
     router = world.ready_router()
-    ask = world.ask(router, "/order/x")
+    req = world.ask(router, "/order/x")
     world.run(1.0)
-    assert ask.status in (200, 503)
-    assert sum(each.ran.count(ask.call_id) for each in endpoints) <= 1
-    again = world.ask(router, "/order/x")
+    assert req.status in (200, 503)
+    assert sum(each.ran.count(req.call_id) for each in endpoints) <= 1
+    retried = world.ask(router, "/order/x")
     world.run(0.2)
-    assert again.status == 200
+    assert retried.status == 200
 
 
-def test_an_endpoints_own_failure_is_tried_elsewhere_or_passed_on_unchanged():
+def test_an_error_of_an_endpoint_is_retried_elsewhere_or_passed_on_unchanged():
     world = DirectWorld()
     only = world.add_endpoint("e1")
     only.reply = ERROR
@@ -109,77 +109,77 @@
     assert both.status == 200
 
 
-def test_a_success_without_the_endpoints_signature_is_no_success():
+def test_a_success_without_the_endpoints_signature_is_rejected():
     world = DirectWorld()
     world.add_endpoint("e1").reply = Reply(is_signed=False)
-    ask = world.ask(world.ready_router(), "/order/x")
+    req = world.ask(world.ready_router(), "/order/x")
     world.run(0.2)
-    assert ask.status == 502
+    assert req.status == 502
 
 
-def test_a_request_that_is_given_up_gets_its_answer_at_the_routes_timeout():
+def test_a_request_is_answered_at_the_timeout_of_its_route():
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     endpoint.reply = Reply(is_silent=True)
     document = make_direct_document(
         routes=(make_route("order", RouteKind.NON_IDEMPOTENT, timeout_s=0.8),)
     )
-    ask = world.ask(world.ready_router(document), "/order/x")
+    req = world.ask(world.ready_router(document), "/order/x")
     world.run(0.79)
-    assert ask.status is None
+    assert req.status is None
     world.run(0.03)
-    assert ask.status == 504
-    assert endpoint.cancelled == [ask.call_id]
+    assert req.status == 504
+    assert endpoint.cancelled == [req.call_id]
 
 
-def test_the_endpoint_stops_when_the_caller_leaves():
+def test_the_call_is_cancelled_when_the_caller_disconnects():
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     endpoint.reply = Reply(is_silent=True)
     router = world.ready_router()
-    ask = world.ask(router, "/draft/x")
+    req = world.ask(router, "/draft/x")
     world.run(0.05)
-    ask.leave()
-    assert endpoint.cancelled == [ask.call_id]
+    req.leave()
+    assert endpoint.cancelled == [req.call_id]
     assert not router.gateway.running_requests
     assert all(world.clock.seconds() + 5 > call.getTime() for call in world.clock.calls)
 
 
-def test_a_stream_goes_on_elsewhere_after_the_last_whole_event():
+def test_a_stream_is_resumed_elsewhere_after_the_last_complete_event():
     world = DirectWorld()
     endpoints = [world.add_endpoint(name) for name in ("e1", "e2")]
     for endpoint in endpoints:
         endpoint.reply = Reply(events=6)
         endpoint.replies = [Reply(events=6, break_after=2)]
-    ask = world.ask(world.ready_router(), "/draft/x")
+    req = world.ask(world.ready_router(), "/draft/x")
     world.run(3.0)
-    assert ask.reply.is_complete
+    assert req.reply.is_complete
     expected = b"".join(b"id: %d\ndata: e%d\n\n" % (each, each) for each in range(1, 7))
-    assert ask.reply.body == expected
+    assert req.reply.body == expected
 
 
-def test_a_stream_that_cannot_go_on_does_not_look_complete():
+def test_a_stream_that_cannot_be_resumed_does_not_look_complete():
     world = DirectWorld()
     world.add_endpoint("e1").reply = Reply(events=6, break_after=2)
-    ask = world.ask(world.ready_router(), "/draft/x")
+    req = world.ask(world.ready_router(), "/draft/x")
     world.run(3.0)
-    assert ask.reply.is_aborted
-    assert ask.reply.body.endswith(b"data: e2\n\n")
+    assert req.reply.is_aborted
+    assert req.reply.body.endswith(b"data: e2\n\n")
 
 
-def test_a_silent_stream_is_cancelled_before_it_goes_on_elsewhere():
+def test_a_stream_without_events_is_cancelled_before_it_is_resumed_elsewhere():
     world = DirectWorld()
     first, second = world.add_endpoint("e1"), world.add_endpoint("e2")
     first.reply = second.reply = Reply(events=3)
     first.replies, second.replies = [Reply(is_silent=True)], []
     router = world.ready_router()
-    ask = world.ask(router, "/draft/x")
+    req = world.ask(router, "/draft/x")
     world.run(4.0)
-    assert ask.reply.is_complete
-    assert first.cancelled == ([ask.call_id] if first.calls else [])
+    assert req.reply.is_complete
+    assert first.cancelled == ([req.call_id] if first.calls else [])
 
 
-def test_a_small_models_doubtful_answer_is_dropped_for_the_largest_ones():
+def test_a_low_confidence_answer_is_dropped_for_the_largest_model():
     world = DirectWorld()
     endpoint = world.add_endpoint("e1")
     route = make_route("draft", RouteKind.STREAM, models=("small", "large"))
@@ -198,21 +198,21 @@
     assert len(endpoint.calls) == 3
 
 
-def test_an_endpoint_that_drains_gets_nothing_more():
+def test_a_draining_endpoint_gets_no_more_calls():
     world = DirectWorld()
-    leaving = world.add_endpoint("e1")
+    draining = world.add_endpoint("e1")
     world.add_endpoint("e2")
     router = world.ready_router()
     world.registry.put("e1", make_endpoint_entry("e1", state=EndpointState.DRAINING))
     world.run(1.5)
-    before = len(leaving.calls)
+    before = len(draining.calls)
     for _ in range(20):
         world.ask(router, "/look/x")
         world.run(0.05)
-    assert len(leaving.calls) == before
+    assert len(draining.calls) == before
 
 
-def test_repeats_stop_where_the_shared_budget_ends():
+def test_retries_stop_when_the_shared_budget_is_used_up():
     world = DirectWorld()
     endpoints = [world.add_endpoint(name) for name in ("e1", "e2", "e3")]
     for endpoint in endpoints:
@@ -227,8 +227,8 @@
     assert calls <= 50 + 0.9 * 50 + 4.0
 
 
-def test_a_stream_that_went_silent_while_its_caller_read_slowly_goes_on_elsewhere():
-    """The watch ran out while the caller was waited for, and was not set again."""
+def test_a_stream_that_stalled_while_its_caller_read_slowly_is_resumed_elsewhere():
+    """The idle timer expired while the caller was slow, and was not restarted."""
     world = DirectWorld()
     for name in ("e1", "e2"):
         endpoint = world.add_endpoint(name)
@@ -237,18 +237,18 @@
     router = world.ready_router(make_direct_document(routes=(route,)))
     for name in ("e1", "e2"):
         world.endpoints.by_address[f"@{name}"].replies = [Reply(events=3, gap_s=60.0)]
-    ask = world.ask(router, "/draft/x")
+    req = world.ask(router, "/draft/x")
     world.run(0.2)
     for name in ("e1", "e2"):
         world.endpoints.by_address[f"@{name}"].replies = []
-    ask.reply.pause()
+    req.reply.pause()
     world.run(3.0)
-    ask.reply.resume()
+    req.reply.resume()
     world.run(3.0)
-    assert ask.reply.is_complete
+    assert req.reply.is_complete
 
 
-def test_a_slow_caller_holds_up_only_its_own_call():
+def test_a_slow_caller_pauses_only_its_own_call():
     world = DirectWorld()
     world.add_endpoint("e1").reply = Reply(events=50)
     router = world.ready_router()
--- a/umberhitch/tasks/direct/tests/test_ready_answers.py
+++ b/umberhitch/tasks/direct/tests/test_ready_answers.py
@@ -1,8 +1,8 @@
-"""An answer that is there is not lost for a larger model's that cannot be had.
+"""A complete answer is not lost if the larger model's answer turns out to be unavailable.
 
-Seen: callers got 502 after a small model's whole answer was dropped for its low confidence, and
-every endpoint asked for the larger model's refused. Cause: the answer is dropped before the larger
-model's has begun.
+Callers got 502 when a small model's complete answer was dropped for its low confidence and every
+endpoint then refused the call of the larger model: the answer is dropped before the larger model's
+answer has started.
 """
 
 import pytest
@@ -34,8 +34,8 @@
     for each in endpoints:
         each.reply = UNSURE
     refuse_all_but_the_first()
-    ask = world.ask(router, "/draft/x", Prompt=zones.PROMPT, Any_Model="1")
+    req = world.ask(router, "/draft/x", Prompt=zones.PROMPT, Any_Model="1")
     world.run(2.0)
-    assert sum(len(each.calls) for each in endpoints) > 1  # the larger model was asked for
-    assert ask.status == 200
-    assert ask.reply.is_complete
+    assert sum(len(each.calls) for each in endpoints) > 1  # the larger model was called
+    assert req.status == 200
+    assert req.reply.is_complete
--- a/umberhitch/tasks/direct/tests/test_sharing.py
+++ b/umberhitch/tasks/direct/tests/test_sharing.py
@@ -149,7 +149,7 @@
     assert sent == [("r9", ViewReply(1, 1, False))]
     view.handle_request("r9", ViewRequest(2, 1, "registry", 99, 0.5))
     world.run(0.6)
-    assert sent[1][1].is_known
+    assert sent[1][1].is_offset_known
     assert sent[1][1].held_s >= 0.5
 
 
--- a/umberhitch/tasks/direct/tests/test_unknown_headers.py
+++ b/umberhitch/tasks/direct/tests/test_unknown_headers.py
@@ -1,10 +1,10 @@
-"""A header that the product does not know is seen, and cannot fill memory or log."""
+"""Unknown headers are reported, and can fill neither the memory nor the log."""
 
 from umberhitch.core.direct import HeadSignals
 from umberhitch.tasks.direct.unknown_headers import MAX_NAMES, UnknownHeaders
 
 
-def test_it_is_logged_once_and_counted(caplog):
+def test_an_unknown_header_is_logged_once_and_counted(caplog):
     caplog.set_level("INFO")
     unknown = UnknownHeaders()
     for _ in range(3):
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -84,7 +84,7 @@
 
 
 def the_choice_ignores_the_share(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(EndpointSelector, "_bearing", lambda self, permit, found: found)
+    patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, found: found)
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
--- a/umberhitch/tasks/direct/tests/test_zones.py
+++ b/umberhitch/tasks/direct/tests/test_zones.py
@@ -167,7 +167,9 @@
 def test_all_calls_take_their_endpoints_from_one_place(monkeypatch):
     """A call that found its endpoint elsewhere would be sent although nothing is offered there."""
     world = _world()
-    monkeypatch.setattr(EndpointSelector, "endpoint", lambda self, permit, model, tried: None)
+    monkeypatch.setattr(
+        EndpointSelector, "select_endpoint", lambda self, admitted, model, tried: None
+    )
     for send in KINDS:
         send(world)
     assert _calls(world, "a") == _calls(world, "b") == 0
--- a/umberhitch/tasks/direct/unknown_headers.py
+++ b/umberhitch/tasks/direct/unknown_headers.py
@@ -1,7 +1,7 @@
-"""Counts headers of endpoints' replies that the product does not know, or cannot understand.
+"""Counts of unknown and malformed headers in the replies of endpoints.
 
-An endpoint may say something of itself that matters; a name that nobody here knows is seen so, the
-first time in the log and from then on in the status.
+An endpoint may report something about itself that matters. An unknown header name is therefore
+logged when it is first seen, and counted in the status from then on.
 """
 
 from dataclasses import dataclass, field
@@ -14,23 +14,24 @@
 log = getLogger(__name__)
 
 MAX_NAMES = 64
-"""Names that are kept; of further ones only how many headers they had is counted."""
+"""Maximum number of names kept; headers with further names are only counted together."""
 MAX_NAME_CHARS = 60
 MAX_VALUE_CHARS = 80
-"""Characters that are shown."""
+"""Maximum number of characters shown of a name and of a value."""
 
 
 @dataclass(slots=True)
 class UnknownHeaders:
-    """Headers that were seen, by name.
+    """Unknown and malformed headers, counted by name.
 
     Attributes
     ----------
     counts : dict of str to int
+        Number of unknown headers, by name.
     others : int
-        Headers whose names were too many to be kept.
+        Number of unknown headers whose names are not kept.
     unclear : dict of str to int
-        Known headers with values that are none, by name.
+        Number of known headers with a malformed value, by name.
     """
 
     counts: dict[str, int] = field(default_factory=dict)
@@ -38,7 +39,7 @@
     unclear: dict[str, int] = field(default_factory=dict)
 
     def record(self, lifetime: str, signals: HeadSignals) -> None:
-        """Count what a reply of an endpoint has."""
+        """Count the unknown and malformed headers in a reply of an endpoint."""
         for raw_name, value in signals.unknown:
             name = raw_name[:MAX_NAME_CHARS].decode("latin-1")
             if name in self.counts:
--- a/umberhitch/tasks/evidence.py
+++ b/umberhitch/tasks/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence at a router: collected, passed to the judges of each version, judged, acted upon."""
+"""Evidence on versions: collected at each router, sent to judging routers, and acted upon."""
 
 from collections.abc import Callable
 from logging import getLogger
@@ -26,15 +26,16 @@
 log = getLogger(__name__)
 
 JUDGES_PER_VERSION = 2
-"""Routers that judge a version; either may quarantine it."""
+"""Routers that judge a version; each of them may quarantine it."""
 MAX_RATINGS_IN_FLIGHT = 200
 MAX_RATED_CHARS = 20_000
+"""Length to which a question and an answer are cut before they are rated."""
 
 
 def judges_of(version: str, routers: list[str]) -> list[str]:
     """Return the routers that judge a version, by rendezvous hash (Thaler and Ravishankar, 1998).
 
-    When routers come and go, only the versions of those routers change their judges.
+    When a router joins or leaves, only the versions that it judges get other judges.
     """
 
     def weight(name: str) -> int:
@@ -45,7 +46,7 @@
 
 
 class EvidenceTask:
-    """Owns what a router has observed, and its judgements.
+    """Collects the evidence of one router, and judges the versions assigned to it.
 
     Parameters
     ----------
@@ -53,8 +54,9 @@
     clock : Clock
     rng : Random
     ratings : RatingPort or None
-    sample : float
-        Share of answers that are sent to the rating service.
+        None if there is no rating service.
+    sample_share : float
+        Share of the answers that are sent to the rating service.
     limits : EvidenceLimits
     """
 
@@ -64,14 +66,14 @@
         clock: Clock,
         rng: Random,
         ratings: RatingPort | None,
-        sample: float,
+        sample_share: float,
         limits: EvidenceLimits,
     ) -> None:
         self._router = router
         self._clock = clock
         self._rng = rng
         self._ratings = ratings
-        self._sample = sample
+        self._sample_share = sample_share
         self._book = EvidenceBuffer()
         self._in_flight = 0
         self.judge = VersionJudge(limits)
@@ -86,14 +88,14 @@
         latency_s: float,
         work: EngineWork | ServiceWork,
     ) -> None:
-        """Note how an attempt at a model version ended, and have its answer rated."""
+        """Record the outcome of an attempt at a model version, and have its answer rated."""
         if not isinstance(work, EngineWork) or not _is_evidence(outcome):
             return
         is_done = isinstance(outcome, Done)
         self._book.record_attempt(target, klass, is_done, latency_s)
         if isinstance(outcome, Done) and self._ratings is not None:
-            is_chosen = self._sample >= 1.0 or self._rng.random() < self._sample
-            if is_chosen and self._in_flight < MAX_RATINGS_IN_FLIGHT:
+            is_sampled = self._sample_share >= 1.0 or self._rng.random() < self._sample_share
+            if is_sampled and self._in_flight < MAX_RATINGS_IN_FLIGHT:
                 self._in_flight += 1
                 ensureDeferred(self._rate(self._ratings, target, klass, work, outcome.text))
 
@@ -112,10 +114,10 @@
             self._book.record_rating(target, klass, rating)
 
     def send_evidence(self) -> None:
-        """Send what was observed to the judges of each version; called once a second."""
+        """Send the collected evidence to the judges of each version; called once per second."""
         own = self._router.settings.name
         for evidence in self._book.flush():
-            for judge in self._listeners(evidence.version):
+            for judge in self._recipients(evidence.version):
                 if judge == own:
                     self.handle_evidence(evidence)
                 else:
@@ -126,17 +128,17 @@
         """Whether there is a rating service."""
         return self._ratings is not None
 
-    def _listeners(self, version: str) -> set[str]:
-        """Return the judges of a version and, while it is rolled out, the router that drives."""
+    def _recipients(self, version: str) -> set[str]:
+        """Return the judges of a version and, during a roll-out, the router that drives it."""
         live = [self._router.settings.name, *self._router.live_peers()]
-        listeners = set(judges_of(version, live))
+        recipients = set(judges_of(version, live))
         driver = self._router.lease.holder
         if driver in live and self._router.feed.config.rollouts:
-            listeners.add(driver)
-        return listeners
+            recipients.add(driver)
+        return recipients
 
     def handle_evidence(self, evidence: Evidence) -> None:
-        """Judge one router's evidence, and quarantine a version that is found bad."""
+        """Judge the evidence of one router, and quarantine the version if it is found bad."""
         ver = self._router.feed.config.versions.get(evidence.version)
         if ver is None or ver.state is not VersionState.ACTIVE:
             return
@@ -145,7 +147,7 @@
             return
         if alarm.signal in FALLBACK_SIGNALS and not self._has_fallback(ver):
             log.warning(
-                "version suspected, but there is no other to turn to",
+                "version suspected, but no other version can replace it",
                 extra={"version": alarm.version, "signal": alarm.signal.value},
             )
             self.judge.reset(alarm.version)
@@ -153,7 +155,7 @@
         self._quarantine(alarm)
 
     def _has_fallback(self, ver: Version) -> bool:
-        """Whether another version of the model takes new work and has endpoints."""
+        """Whether another version of the model accepts new work and has endpoints."""
         return any(
             other.key != ver.key
             and other.state is VersionState.ACTIVE
@@ -163,9 +165,10 @@
         )
 
     def _quarantine(self, alarm: Alarm) -> None:
-        """Give a bad version no more work: directly, and by a change that is in the log.
+        """Stop new work for a bad version: at once by messages, permanently by a change in the log.
 
-        Both judges may do this at once: the change's id is the same for both.
+        Both judges may do so at the same time. Their changes have the same id, so that only the
+        first takes effect.
         """
         feed = self._router.feed
         seen = feed.fold.revisions.get(f"versions/{alarm.version}", 0)
@@ -193,7 +196,7 @@
 
 
 def _is_evidence(outcome: Outcome) -> bool:
-    """Whether an outcome says something of the version, not of the agent or the network."""
+    """Whether an outcome is evidence about the version, not about the agent or the network."""
     match outcome:
         case Done() | Unknown(reason=Reason.BACKEND_FAILED):
             return True
--- a/umberhitch/tasks/fleet.py
+++ b/umberhitch/tasks/fleet.py
@@ -1,4 +1,4 @@
-"""The router's view of agents: learned from the host list and from their heartbeats."""
+"""A router's view of the endpoints, from the host list and from the heartbeats of their agents."""
 
 from collections.abc import Container, Iterable, Iterator
 from dataclasses import dataclass, field
@@ -10,25 +10,28 @@
 
 
 MAX_MISSED_HEARTBEATS = 3
+"""Heartbeat intervals without a heartbeat after which an agent is suspected."""
 OCCUPANCY_WEIGHT = 0.1
-"""How much filled slots count beside urgent work: little enough only to decide between equals."""
+"""Weight of the used slots in the load for urgent work. The weight is so small that used slots only
+decide between endpoints with equal urgent work."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLimits:
-    """When an agent is left out.
+    """Thresholds for suspecting an agent and for ejecting an endpoint (outlier detection).
 
     Attributes
     ----------
-    silence_s : float
-        An agent not heard for this long is suspected and gets no new work.
-    floor : float
-        Fraction of a target's endpoints that stays in use however many are suspected: when more
-        are silent than this allows, the router itself is probably at fault.
-    eject_after : int
-        Consecutive failures after which an endpoint is left out for a while.
-    eject_first_s, eject_most_s : float
-        For how long at first, and at most; it doubles from one ejection to the next.
+    min_heartbeat_timeout_s : float
+        Lower limit of the timeout in seconds after which an agent without a heartbeat is suspected
+        and gets no new work. The timeout grows with the interval of heartbeats.
+    min_usable_share : float
+        Fraction of a target's endpoints that must be usable. If fewer are, all of them are used,
+        since the router itself is then probably at fault.
+    ejection_failures : int
+        Consecutive failures after which an endpoint is ejected.
+    base_ejection_s, max_ejection_s : float
+        Seconds of the first ejection and of the longest. The duration doubles at each ejection.
     """
 
     min_heartbeat_timeout_s: float = 3.0
@@ -40,49 +43,54 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """What a router knows of one endpoint and its agent."""
+    """State of one endpoint and its agent, as known to the router."""
 
     name: str
     zone: str
     address: str
     incarnation: int = -1
-    """Of the newest agent heard; -1 before the first heartbeat."""
+    """Newest incarnation of the agent that sent a heartbeat; -1 before the first."""
     targets: tuple[str, ...] = ()
     state: EndpointState = EndpointState.READY
     is_listed_draining: bool = False
+    """Whether the host list says that the endpoint is draining."""
     revision: int = -1
-    """Of its agent's configuration, as of the last heartbeat."""
+    """Revision of the agent's configuration, as of the last heartbeat."""
     sent_revision: int = -1
-    """Up to which its agent was sent the configuration, whether or not it arrived."""
+    """Last revision that was sent to the agent, whether or not it arrived."""
     is_config_pushed: bool = True
-    """Whether this router sends its agent each change unasked."""
+    """Whether this router pushes each change of the configuration to the agent."""
     is_loading: bool = False
-    """Whether it is loading a version, so that what it serves is about to change."""
+    """Whether the endpoint is loading a version, after which its targets change."""
     reported_attempts: int = 0
-    """Attempts running and queued as of the last heartbeat."""
+    """Attempts of all routers running and queued, as of the last heartbeat."""
     own_at_heartbeat: int = 0
-    """Attempts of this router in flight when that heartbeat came."""
+    """Attempts of this router in flight when the last heartbeat arrived."""
     slots: int = 1
+    """Attempts that the endpoint runs at the same time."""
     own_attempts: int = 0
     """Attempts of this router in flight now."""
     reported_urgent: int = 0
-    """Urgent attempts running and queued as of the last heartbeat."""
+    """Urgent attempts of all routers running and queued, as of the last heartbeat."""
     own_urgent: int = 0
+    """Urgent attempts of this router in flight now."""
     own_urgent_at_heartbeat: int = 0
+    """Urgent attempts of this router in flight when the last heartbeat arrived."""
     last_heartbeat_s: float = -1.0
     failures: int = 0
-    """Consecutive attempts that failed or were refused by the back end."""
+    """Number of consecutive attempts that failed or were refused by the back end."""
     ejections: int = 0
-    """Consecutive ejections, without a success between."""
+    """Number of ejections since the last successful attempt."""
     ejected_until_s: float = -1.0
 
     def load(self, is_urgent: bool = False) -> float:
-        """Return the work at the endpoint per slot, corrected by what was sent since.
+        """Return the attempts at the endpoint per slot.
 
-        What is urgent overtakes the rest of the queue, so that for it only urgent work counts, and
-        other work as far as it fills the slots.
+        The number that the last heartbeat reported is corrected by the attempts of this router that
+        started or finished since. An urgent attempt overtakes all others in the queue, so that only
+        urgent attempts count in full for it; others count with a low weight, up to the slots.
         """
-        whole = (
+        total = (
             max(
                 self.own_attempts,
                 self.reported_attempts + self.own_attempts - self.own_at_heartbeat,
@@ -90,27 +98,28 @@
             / self.slots
         )
         if not is_urgent:
-            return whole
+            return total
         since = self.own_urgent - self.own_urgent_at_heartbeat
         urgent = max(self.own_urgent, self.reported_urgent + since) / self.slots
-        return urgent + OCCUPANCY_WEIGHT * min(1.0, whole)
+        return urgent + OCCUPANCY_WEIGHT * min(1.0, total)
 
     def note_attempt_started(self, is_urgent: bool) -> None:
-        """Count an attempt of this router in."""
+        """Count an attempt of this router that starts."""
         self.own_attempts += 1
         self.own_urgent += is_urgent
 
     def note_attempt_finished(self, is_urgent: bool) -> None:
-        """Count an attempt of this router out."""
+        """Count an attempt of this router that has finished."""
         self.own_attempts = max(0, self.own_attempts - 1)
         self.own_urgent = max(0, self.own_urgent - is_urgent)
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """The endpoints that may get new work for one target, ready for a choice.
+    """The endpoints that may get new work for one target, also grouped by availability zone.
 
-    Built when the fleet changes, so that a decision need not look at every endpoint.
+    A pool is built when the fleet changes, so that a routing decision need not check every
+    endpoint.
     """
 
     endpoints: tuple[Endpoint, ...] = ()
@@ -123,7 +132,7 @@
         return iter(self.endpoints)
 
     def has_other_than(self, avoid: Container[str]) -> bool:
-        """Whether there is an endpoint whose name is not to be avoided."""
+        """Whether the pool has an endpoint whose name is not in ``avoid``."""
         if not avoid:
             return bool(self.endpoints)
         return any(endpoint.name not in avoid for endpoint in self.endpoints)
@@ -133,7 +142,7 @@
 
 
 def make_pool(endpoints: Iterable[Endpoint]) -> Pool:
-    """Return a pool of endpoints."""
+    """Return the pool of the endpoints."""
     members = tuple(endpoints)
     by_zone: dict[str, list[Endpoint]] = {}
     for endpoint in members:
@@ -143,29 +152,31 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Owns the endpoints that a router knows.
+    """Maintains the state of the endpoints that a router knows.
 
     Attributes
     ----------
     clock : Clock
     limits : FleetLimits
+    endpoints : dict of str to Endpoint
+        Endpoints by name.
     """
 
     clock: Clock
     limits: FleetLimits = field(default_factory=FleetLimits)
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
     heartbeat_timeout_s: float = 0.0
-    """How long an agent may be silent; grows with the pace of heartbeats."""
+    """Seconds without a heartbeat after which an agent is suspected."""
     _by_target: dict[str, list[Endpoint]] = field(default_factory=dict)
     _pools: dict[str, Pool] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.set_heartbeat_interval(0.0)
 
-    def set_heartbeat_interval(self, beat_s: float) -> None:
-        """Expect agents to be heard this often; three missed heartbeats are silence."""
+    def set_heartbeat_interval(self, interval_s: float) -> None:
+        """Set the interval at which agents send heartbeats, from which the timeout is derived."""
         self.heartbeat_timeout_s = max(
-            self.limits.min_heartbeat_timeout_s, MAX_MISSED_HEARTBEATS * beat_s
+            self.limits.min_heartbeat_timeout_s, MAX_MISSED_HEARTBEATS * interval_s
         )
 
     def get(self, name: str) -> Endpoint | None:
@@ -173,10 +184,10 @@
         return self.endpoints.get(name)
 
     def update_hosts(self, hosts: Iterable[Host]) -> list[Endpoint]:
-        """Take the host list; returns the endpoints that are new or have moved.
+        """Apply the host list; return the endpoints that are new or have a new address.
 
-        An endpoint that is no longer listed is kept while its agent is heard, since the list may
-        lag or be wrong.
+        An endpoint that is no longer listed is kept while its agent sends heartbeats, since the
+        list may lag or be wrong.
         """
         listed = {host.name: host for host in hosts}
         moved = [self._update_host(host) for host in listed.values()]
@@ -189,7 +200,7 @@
         return [endpoint for endpoint in moved if endpoint is not None]
 
     def forget_endpoints(self, names: Iterable[str]) -> None:
-        """Forget endpoints that other routers serve now, unless work runs there."""
+        """Remove endpoints that other routers now serve, unless attempts are in flight there."""
         for name in names:
             endpoint = self.endpoints.get(name)
             if endpoint is not None and not endpoint.own_attempts:
@@ -210,35 +221,35 @@
         self._index(endpoint, ())
 
     def refresh_pools(self) -> None:
-        """Look for endpoints that have fallen silent; called at the pace of heartbeats."""
+        """Clear the pools, so that they are rebuilt without newly suspected agents."""
         self._pools.clear()
 
-    def handle_heartbeat(self, beat: Heartbeat) -> int | None:
-        """Take a heartbeat; returns the incarnation that it replaces, if it does."""
-        endpoint = self.endpoints.get(beat.endpoint)
-        if endpoint is None or beat.incarnation < endpoint.incarnation:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> int | None:
+        """Apply a heartbeat; return the incarnation that it replaces, or None."""
+        endpoint = self.endpoints.get(heartbeat.endpoint)
+        if endpoint is None or heartbeat.incarnation < endpoint.incarnation:
             return None
         replaced = endpoint.incarnation if endpoint.incarnation >= 0 else None
-        is_replaced = replaced is not None and beat.incarnation > endpoint.incarnation
+        is_replaced = replaced is not None and heartbeat.incarnation > endpoint.incarnation
         if is_replaced:
             endpoint.is_listed_draining = False
-        is_changed = endpoint.state is not beat.state or endpoint.zone != beat.zone
+        is_changed = endpoint.state is not heartbeat.state or endpoint.zone != heartbeat.zone
         if is_changed or is_replaced or self.is_silent(endpoint):
             for target in endpoint.targets:
                 self._pools.pop(target, None)
-        endpoint.incarnation = beat.incarnation
-        endpoint.zone = beat.zone
-        endpoint.state = beat.state
-        endpoint.is_loading = beat.is_loading
-        endpoint.revision = beat.revision
-        endpoint.reported_attempts = beat.running + beat.queued
+        endpoint.incarnation = heartbeat.incarnation
+        endpoint.zone = heartbeat.zone
+        endpoint.state = heartbeat.state
+        endpoint.is_loading = heartbeat.is_loading
+        endpoint.revision = heartbeat.revision
+        endpoint.reported_attempts = heartbeat.running + heartbeat.queued
         endpoint.own_at_heartbeat = endpoint.own_attempts
-        endpoint.reported_urgent = beat.urgent
+        endpoint.reported_urgent = heartbeat.urgent
         endpoint.own_urgent_at_heartbeat = endpoint.own_urgent
-        endpoint.slots = max(1, beat.slots)
+        endpoint.slots = max(1, heartbeat.slots)
         endpoint.last_heartbeat_s = self.clock.seconds()
-        if tuple(beat.targets) != endpoint.targets:
-            self._index(endpoint, tuple(beat.targets))
+        if tuple(heartbeat.targets) != endpoint.targets:
+            self._index(endpoint, tuple(heartbeat.targets))
         return replaced if is_replaced else None
 
     def _index(self, endpoint: Endpoint, targets: tuple[str, ...]) -> None:
@@ -251,61 +262,61 @@
             self._pools.pop(target, None)
 
     def note_success(self, name: str) -> None:
-        """Note that an attempt at an endpoint went well."""
+        """Record a successful attempt, which resets the failures and ejections of the endpoint."""
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
             endpoint.failures = endpoint.ejections = 0
 
     def note_failure(self, name: str) -> None:
-        """Note that an endpoint failed; after a few in a row it is left out for a while."""
+        """Record a failure, and eject the endpoint after several consecutive failures."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return
         endpoint.failures += 1
         if endpoint.failures < self.limits.ejection_failures:
             return
-        wait_s = min(
+        ejection_s = min(
             self.limits.max_ejection_s, self.limits.base_ejection_s * 2**endpoint.ejections
         )
         endpoint.failures = self.limits.ejection_failures - 1
         endpoint.ejections += 1
-        endpoint.ejected_until_s = self.clock.seconds() + wait_s
+        endpoint.ejected_until_s = self.clock.seconds() + ejection_s
         for target in endpoint.targets:
             self._pools.pop(target, None)
 
     def is_excluded(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is left out for now: its agent is silent, or it was ejected."""
+        """Whether the endpoint's agent is suspected or the endpoint is ejected."""
         return self.is_silent(endpoint) or self.clock.seconds() < endpoint.ejected_until_s
 
     def is_silent(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint's agent has not been heard lately."""
+        """Whether the endpoint's agent has sent no heartbeat within the timeout."""
         return self.clock.seconds() - endpoint.last_heartbeat_s > self.heartbeat_timeout_s
 
     def candidates(self, target: str) -> Pool:
         """Return the endpoints that may get new work for a target."""
         pool = self._pools.get(target)
         if pool is None:
-            pool = self._pools[target] = make_pool(self._usable(target))
+            pool = self._pools[target] = make_pool(self._usable_endpoints(target))
         return pool
 
-    def _usable(self, target: str) -> list[Endpoint]:
+    def _usable_endpoints(self, target: str) -> list[Endpoint]:
         known = self._by_target.get(target, [])
-        open_ = [
+        ready = [
             endpoint
             for endpoint in known
             if endpoint.state is EndpointState.READY and not endpoint.is_listed_draining
         ]
-        heard = [endpoint for endpoint in open_ if not self.is_excluded(endpoint)]
-        if len(heard) >= self.limits.min_usable_share * len(open_):
-            return heard
-        return open_
+        usable = [endpoint for endpoint in ready if not self.is_excluded(endpoint)]
+        if len(usable) >= self.limits.min_usable_share * len(ready):
+            return usable
+        return ready
 
     def has_endpoint(self, target: str) -> bool:
         """Whether any endpoint may get new work for a target."""
         return bool(self.candidates(target).endpoints)
 
     def lowest_revisions(self) -> dict[str, list[int]]:
-        """Return, by availability zone, how many agents are heard and the lowest revision there."""
+        """Return the number of live agents and their lowest revision, by availability zone."""
         zones: dict[str, list[int]] = {}
         for endpoint in self.endpoints.values():
             if endpoint.incarnation < 0 or self.is_silent(endpoint):
--- a/umberhitch/tasks/follower.py
+++ b/umberhitch/tasks/follower.py
@@ -1,4 +1,4 @@
-"""Follows one stream of the log and hands its records on in order."""
+"""Reads one stream of the log continuously and delivers its records in order."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,28 +16,31 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerSettings:
-    """How often a follower asks."""
+    """Read intervals and batch size of a follower."""
 
     wait_s: float = 1.0
-    """How long the service may hold a read that finds nothing new."""
+    """Seconds for which the service may hold a read that finds no new records (long poll)."""
     poll_interval_s: float = 0.05
+    """Seconds between a read that found no new records and the next."""
     retry_s: float = 0.5
+    """Seconds between a failed read and the next."""
     max_batch: int = 500
+    """Records per read."""
 
 
 class Follower:
-    """Owns the read position of one stream.
+    """Reads one stream from a given offset onwards.
 
     Parameters
     ----------
     port : LogPort
     stream : str
     clock : Clock
-    start : callable
-        Returns the offset to read from; asked before each read.
+    next_offset : callable
+        Returns the offset to read from; called before each read.
     deliver : callable
-        Receives each batch that holds records.
-    pace : FollowerSettings
+        Called with each batch that contains records.
+    settings : FollowerSettings
     """
 
     def __init__(
@@ -45,54 +48,57 @@
         port: LogPort,
         stream: str,
         clock: Clock,
-        start: Callable[[], int],
+        next_offset: Callable[[], int],
         deliver: Callable[[LogBatch], None],
-        pace: FollowerSettings | None = None,
+        settings: FollowerSettings | None = None,
     ) -> None:
         self._port = port
         self._stream = stream
         self._clock = clock
-        self._start = start
+        self._next_offset = next_offset
         self._deliver = deliver
-        self._pace = pace or FollowerSettings()
+        self._settings = settings or FollowerSettings()
         self._timer: Timer | None = None
         self._running = False
         self.last_read_s: float | None = None
-        """When the service last answered."""
+        """Time of the last reply of the service."""
         self.caught_up_s: float | None = None
-        """When everything up to the stream's end was last known to be delivered."""
+        """Time at which every record of the stream was last known to be delivered."""
         self.end_offset = 0
-        """The stream's end as of the last answer."""
+        """Offset of the end of the stream, as of the last reply."""
         self.failures = 0
+        """Number of consecutive failed reads."""
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start reading."""
         self._running = True
-        self._next(0.0)
+        self._schedule_read(0.0)
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._running = False
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     @property
     def is_current(self) -> bool:
-        """Whether everything that the last answer knew of has been delivered."""
+        """Whether every record up to the end of the stream, as of the last reply, is delivered."""
         return (
-            self.last_read_s is not None and self.failures == 0 and self._start() >= self.end_offset
+            self.last_read_s is not None
+            and self.failures == 0
+            and self._next_offset() >= self.end_offset
         )
 
-    def _next(self, delay_s: float) -> None:
+    def _schedule_read(self, delay_s: float) -> None:
         if self._running:
             self._timer = self._clock.callLater(delay_s, lambda: ensureDeferred(self._read()))
 
     async def _read(self) -> None:
         batch: LogBatch | None
         try:
-            start = self._start()
+            start = self._next_offset()
             batch = await self._port.read(
-                self._stream, start, self._pace.max_batch, self._pace.wait_s
+                self._stream, start, self._settings.max_batch, self._settings.wait_s
             )
         except LogTrimmedError as exc:
             batch = await self._read_from(exc.first_offset)
@@ -101,11 +107,11 @@
             return
         if batch is None or not self._running:
             return
-        self._accept(batch)
+        self._handle_batch(batch)
 
     async def _read_from(self, offset: int) -> LogBatch | None:
         try:
-            return await self._port.read(self._stream, offset, self._pace.max_batch, 0.0)
+            return await self._port.read(self._stream, offset, self._settings.max_batch, 0.0)
         except LogError as exc:
             self._note_failure(exc)
             return None
@@ -114,14 +120,14 @@
         self.failures += 1
         if self.failures == 1:
             log.warning("read failed", extra={"stream": self._stream, "error": str(exc)})
-        self._next(self._pace.retry_s)
+        self._schedule_read(self._settings.retry_s)
 
-    def _accept(self, batch: LogBatch) -> None:
+    def _handle_batch(self, batch: LogBatch) -> None:
         self.last_read_s = self._clock.seconds()
         self.failures = 0
         self.end_offset = batch.end
         if batch.records:
             self._deliver(batch)
-        if self._start() >= batch.end:
+        if self._next_offset() >= batch.end:
             self.caught_up_s = self.last_read_s
-        self._next(0.0 if batch.records else self._pace.poll_interval_s)
+        self._schedule_read(0.0 if batch.records else self._settings.poll_interval_s)
--- a/umberhitch/tasks/idempotency.py
+++ b/umberhitch/tasks/idempotency.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: claimed in the log before the one dispatch.
+"""Requests with an idempotency key, which is claimed in the log before the request is sent.
 
 See docs/design/0002-idempotency-keys.md.
 """
@@ -22,16 +22,18 @@
 __all__ = ["IdempotencyKeyRequests"]
 
 CLAIM_TIMEOUT_S = 2.0
-"""How long a keyed request waits for the log before it is refused."""
+"""Seconds that a request with an idempotency key waits for the log before it is refused."""
 KEY_POLL_INTERVAL_S = 0.5
+"""Seconds between checks of a key that another request has claimed."""
 FETCH_TIMEOUT_S = 2.0
+"""Seconds to wait for an agent to return a recorded answer."""
 MAX_RECORDED_CHARS = 16_384
-"""Longer answers are not kept in the log; a later caller gets them while the agent has them."""
+"""Longer answers are not recorded in the log; later callers get them while the agent has them."""
 LOG_RETRY_AFTER_S = 2.0
 
 
 class IdempotencyKeyRequests:
-    """Serves the requests of one router that carry an idempotency key.
+    """Serves the requests of one router that have an idempotency key.
 
     Parameters
     ----------
@@ -40,6 +42,7 @@
         Places and runs the attempts.
     clock : Clock
     wall_s : callable
+        Returns seconds since the epoch.
     """
 
     def __init__(
@@ -55,14 +58,14 @@
         self._wall_s = wall_s
 
     async def serve(self, progress: RequestProgress) -> Outcome:
-        """See a request with an idempotency key through."""
+        """Serve a request with an idempotency key and return its outcome."""
         claims = self._router.claims
         while True:
             state = claims.holder(progress.request.idempotency_key)
             if state is not None:
-                outcome = await self._follow_key(progress, state)
+                outcome = await self._outcome_of_claim(progress, state)
             elif claims.follower.failures:
-                return _log_down("the log of idempotency keys cannot be reached")
+                return _log_unavailable("the log of idempotency keys cannot be reached")
             else:
                 outcome = await self._claim_and_run(progress)
             if outcome is not None:
@@ -71,19 +74,19 @@
                 return NotRun(Reason.KEY_IN_USE, "the first request is still running", 1.0)
 
     async def _claim_and_run(self, progress: RequestProgress) -> Outcome | None:
-        """Claim the key and run; None if the state of the key must be looked at again."""
+        """Claim the key and run the request; return None if another request claimed it first."""
         while True:
             placement = self._requests.place_attempt(progress)
             if isinstance(placement, NotRun):
                 return progress.last_refusal or placement
             state = await self._claim(progress, placement)
             if state is None:
-                return _log_down("the idempotency key could not be recorded")
+                return _log_unavailable("the idempotency key could not be recorded")
             if state.claim.attempt != placement.attempt:
                 return None
             outcome = await self._requests.run_attempt(progress, placement)
-            is_safe = isinstance(outcome, NotRun)
-            if not (is_safe and self._requests.may_retry(progress, outcome)):
+            has_not_run = isinstance(outcome, NotRun)
+            if not (has_not_run and self._requests.may_retry(progress, outcome)):
                 self._record(progress.request, placement.attempt, outcome)
                 return outcome
             progress.excluded.add(placement.endpoint.name)
@@ -91,82 +94,88 @@
     async def _claim(
         self, progress: RequestProgress, placement: AttemptPlacement
     ) -> ClaimState | None:
-        ask = progress.request
+        req = progress.request
         claim = Claim(
-            ask.idempotency_key,
-            ask.request_id,
+            req.idempotency_key,
+            req.request_id,
             placement.attempt,
             placement.endpoint.name,
             placement.agent_incarnation,
-            ask.fingerprint,
+            req.fingerprint,
             self._wall_s(),
         )
         left_s = progress.deadline_s - self._clock.seconds()
         return await self._router.claims.claim(claim, min(CLAIM_TIMEOUT_S, left_s))
 
-    def _record(self, ask: CallerRequest, attempt: AttemptId, outcome: Outcome) -> None:
+    def _record(self, req: CallerRequest, attempt: AttemptId, outcome: Outcome) -> None:
         claims = self._router.claims
         match outcome:
             case Done():
-                self._record_done(ask.idempotency_key, ask.request_id, attempt, outcome)
+                self._record_done(req.idempotency_key, req.request_id, attempt, outcome)
             case NotRun():
-                claims.release(Release(ask.idempotency_key, ask.request_id, attempt))
+                claims.release(Release(req.idempotency_key, req.request_id, attempt))
             case Unknown(reason=reason):
-                claims.settle(Settle(ask.idempotency_key, ask.request_id, attempt, None, reason))
+                claims.settle(Settle(req.idempotency_key, req.request_id, attempt, None, reason))
 
-    async def _follow_key(self, progress: RequestProgress, state: ClaimState) -> Outcome | None:
-        """Answer from what another request with the same key did or does."""
+    async def _outcome_of_claim(
+        self, progress: RequestProgress, state: ClaimState
+    ) -> Outcome | None:
+        """Return the outcome of the request that claimed the key; None if it is not known yet."""
         claim = state.claim
         if claim.fingerprint != progress.request.fingerprint:
             return NotRun(Reason.KEY_REUSED, "the key was used for another request")
         settled = state.settled
         if settled is not None:
             if settled.answer is None:
-                return await self._look_again(progress, claim, Reason(settled.reason))
+                return await self._fetch_answer(progress, claim, Reason(settled.reason))
             return replay_answer(settled.answer)
         owner = claim.attempt
         if self._router.peers.is_alive(owner.router, owner.incarnation):
             left_s = progress.deadline_s - self._clock.seconds()
             await self._router.claims.wait_for_update(claim.key, min(KEY_POLL_INTERVAL_S, left_s))
             return None
-        return await self._settle_for(progress, claim)
+        return await self._settle_for_lost_router(progress, claim)
 
-    async def _look_again(self, progress: RequestProgress, claim: Claim, reason: Reason) -> Outcome:
-        """Answer for a key whose answer is not in the log: it was unknown then, or too long.
+    async def _fetch_answer(
+        self, progress: RequestProgress, claim: Claim, reason: Reason
+    ) -> Outcome:
+        """Return the answer for a key whose answer is not in the log, if the agent still has it.
 
-        The agent may still have it.
+        An answer is not in the log if it was unknown when it was recorded, or too long.
         """
         endpoint = self._router.fleet.get(claim.endpoint)
         unknown = Unknown(reason, "the first request's outcome is unknown")
         if endpoint is None or endpoint.incarnation != claim.agent_incarnation:
             return unknown
         left_s = progress.deadline_s - self._clock.seconds()
-        watch = self._router.attempts.fetch(
+        open_attempt = self._router.attempts.fetch(
             claim.attempt, endpoint, progress.request.customer.name, min(FETCH_TIMEOUT_S, left_s)
         )
-        outcome = await self._router.attempts.outcome_of(watch)
+        outcome = await self._router.attempts.outcome_of(open_attempt)
         if not isinstance(outcome, Done):
             return unknown
         self._record_done(claim.key, claim.request, claim.attempt, outcome)
         return replay_answer(make_recorded_answer(outcome))
 
     def _record_done(self, key: str, request: str, attempt: AttemptId, done: Done) -> None:
-        """Record an answer, or only that there was one if it is too long for the log."""
+        """Record an answer; of one that is too long for the log, record only that it exists."""
         if len(done.text) <= MAX_RECORDED_CHARS:
             settle = Settle(key, request, attempt, make_recorded_answer(done))
         else:
             settle = Settle(key, request, attempt, None, Reason.EVICTED)
         self._router.claims.settle(settle)
 
-    async def _settle_for(self, progress: RequestProgress, claim: Claim) -> Outcome | None:
-        """Find out, for a lost router, what became of the attempt that it claimed."""
+    async def _settle_for_lost_router(
+        self, progress: RequestProgress, claim: Claim
+    ) -> Outcome | None:
+        """Determine the outcome of an attempt that was claimed by a router that is lost."""
         endpoint = self._router.fleet.get(claim.endpoint)
         if endpoint is None:
             return Unknown(Reason.AGENT_LOST, "the first request's agent is gone")
-        watch: OpenAttempt = self._router.attempts.settle_orphaned(
+        open_attempt: OpenAttempt = self._router.attempts.settle_orphaned(
             claim.attempt, endpoint, claim.agent_incarnation, progress.request.customer.name
         )
-        outcome = await self._router.attempts.outcome_of(watch)
+        outcome = await self._router.attempts.outcome_of(open_attempt)
         claims = self._router.claims
         match outcome:
             case Done():
@@ -183,5 +192,5 @@
                 return outcome
 
 
-def _log_down(detail: str) -> NotRun:
+def _log_unavailable(detail: str) -> NotRun:
     return NotRun(Reason.LOG_DOWN, detail, LOG_RETRY_AFTER_S)
--- a/umberhitch/tasks/leases.py
+++ b/umberhitch/tasks/leases.py
@@ -1,4 +1,4 @@
-"""A router's leases: acquired when free, renewed in time, believed in no longer than they last."""
+"""Leases of a router: acquired when free, renewed in time, and not relied on past their expiry."""
 
 from collections.abc import Callable
 from random import Random
@@ -24,12 +24,13 @@
 LEASE_TTL_S = 15.0
 RENEW_INTERVAL_S = 5.0
 EXPIRY_MARGIN_S = 2.0
-"""How long past its end a lease is left alone, for clocks that differ in rate and slow reads."""
+"""Seconds that other routers wait after the expiry of a lease before they acquire it, since clocks
+differ in rate and reads of the log may be slow."""
 MAX_CANDIDATES = 3
 
 
 def lease_candidates(name: str, routers: list[str]) -> list[str]:
-    """Return the routers that may take a lease, by rendezvous hash, so that few append for it."""
+    """Return the routers that may acquire a lease, by rendezvous hash, so that few try at once."""
 
     def weight(router: str) -> int:
         return xxh3_64_intdigest(f"{name}\0{router}".encode())
@@ -38,20 +39,20 @@
 
 
 class LeaseManager:
-    """Owns one router's hold on one lease.
+    """Acquires, renews and yields one lease for one router.
 
     Parameters
     ----------
     name : str
-        Of the lease.
+        Name of the lease.
     router : str
     incarnation : int
     port : LogPort
     clock : Clock
     rng : Random
     routers : callable
-        Returns the names of the live routers, this one included.
-    pace : FollowerSettings
+        Returns the names of the live routers, including this one.
+    follower_settings : FollowerSettings
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         clock: Clock,
         rng: Random,
         routers: Callable[[], list[str]],
-        pace: FollowerSettings | None = None,
+        follower_settings: FollowerSettings | None = None,
     ) -> None:
         self._name = name
         self._router = router
@@ -73,25 +74,30 @@
         self._routers = routers
         self._valid_until_s = 0.0
         self._valid_token = NO_TOKEN
-        self._seen_s = clock.seconds()
+        self._last_record_s = clock.seconds()
         self._is_appending = False
         self.fold = LeaseFold()
         self.appender = Appender(port, LEASES_STREAM, clock, rng)
         self.follower = Follower(
-            port, LEASES_STREAM, clock, lambda: self.fold.next_offset, self._on_batch, pace
+            port,
+            LEASES_STREAM,
+            clock,
+            lambda: self.fold.next_offset,
+            self._on_batch,
+            follower_settings,
         )
 
     def start(self) -> None:
-        """Follow the stream."""
+        """Start following the stream."""
         self.follower.start()
 
     def stop(self) -> None:
-        """Follow the stream no longer."""
+        """Stop following the stream."""
         self.follower.stop()
 
     @property
     def token(self) -> int | None:
-        """The fencing token while the lease is held and certainly not expired, else None."""
+        """Fencing token while this router holds the lease and it cannot have expired, else None."""
         lease = self.fold.leases.get(self._name)
         if lease is None or lease.is_yielded or not self._is_own(lease.holder, lease.incarnation):
             return None
@@ -101,13 +107,13 @@
 
     @property
     def holder(self) -> str | None:
-        """The router that holds the lease as of the log."""
+        """Name of the router that holds the lease, as of the last record read, or None."""
         lease = self.fold.leases.get(self._name)
         return lease.holder if lease is not None and not lease.is_yielded else None
 
     @property
     def highest_token(self) -> int:
-        """The newest token that this router has read of."""
+        """Newest fencing token of the lease that this router has read."""
         lease = self.fold.leases.get(self._name)
         return lease.token if lease is not None else NO_TOKEN
 
@@ -117,10 +123,10 @@
     def _on_batch(self, batch: LogBatch) -> None:
         for offset, data in batch.records:
             if self.fold.apply(offset, data) == self._name:
-                self._seen_s = self._clock.seconds()
+                self._last_record_s = self._clock.seconds()
 
     def tick(self, is_draining: bool) -> None:
-        """Renew the lease, take it if it is free, or give it up; called once a second."""
+        """Renew the lease, acquire it if it is free, or yield it; called once per second."""
         if self._is_appending:
             return
         lease = self.fold.leases.get(self._name)
@@ -133,12 +139,12 @@
                     self._name, lease.token, self._router, self._incarnation, LEASE_TTL_S
                 )
                 self._append(renewal, lease.token, LEASE_TTL_S)
-        elif not is_draining and self._may_take():
+        elif not is_draining and self._may_acquire():
             previous = lease.token if lease is not None else NO_TOKEN
             record = Acquire(self._name, self._router, self._incarnation, previous, LEASE_TTL_S)
             self._append(record, None, LEASE_TTL_S)
 
-    def _may_take(self) -> bool:
+    def _may_acquire(self) -> bool:
         if not self.follower.is_current:
             return False
         if self._router not in lease_candidates(self._name, self._routers()):
@@ -146,10 +152,10 @@
         lease = self.fold.leases.get(self._name)
         if lease is None or lease.is_yielded:
             return True
-        return self._clock.seconds() - self._seen_s > lease.ttl_s + EXPIRY_MARGIN_S
+        return self._clock.seconds() - self._last_record_s > lease.ttl_s + EXPIRY_MARGIN_S
 
     def _append(self, record: Acquire | Renew | Yield, token: int | None, ttl_s: float) -> None:
-        """Append; what is won lasts from the moment before the append, not from its answer."""
+        """Append a record; the lease term starts before the append, not at the reply."""
         sent_s = self._clock.seconds()
         try:
             appended = self.appender.add(encode_lease_record(record))
--- a/umberhitch/tasks/loading.py
+++ b/umberhitch/tasks/loading.py
@@ -1,4 +1,4 @@
-"""Orders at an agent: which are obeyed, and what the endpoint serves meanwhile."""
+"""Loading of model versions at an agent, by order of the router that holds the lease."""
 
 from collections.abc import Callable
 
@@ -10,18 +10,18 @@
 
 
 class TargetLoader:
-    """Owns what an endpoint serves, and the order that is changing it.
+    """Holds the targets that an endpoint serves and the load order in progress.
 
     Parameters
     ----------
     backend : BackendPort
     clock : Clock
     targets : tuple of str
-        What the endpoint serves at the start.
+        Targets that the endpoint serves at the start.
     warm_up_s : float
-        How long a new agent listens for fencing tokens before it obeys.
+        Seconds for which a new agent learns fencing tokens before it accepts orders.
     on_change : callable
-        Called when what is served changes, or is about to.
+        Called when the served targets change or a load order is accepted.
     """
 
     def __init__(
@@ -37,35 +37,35 @@
         self._backend = backend
         self._clock = clock
         self._on_change = on_change
-        self._before = targets
+        self._previous_targets = targets
         self._order: LoadOrder | None = None
-        self._has_begun = False
+        self._has_started = False
 
     @property
     def is_loading(self) -> bool:
-        """Whether a version is about to be loaded, or is being loaded."""
+        """Whether a load order is pending or running."""
         return self._order is not None
 
     def accept_order(self, order: LoadOrder) -> LoadOrderReply:
-        """Accept an order, unless its sender's lease has passed on; see `begin_if_idle`."""
+        """Accept an order unless its fencing token is old; `start_if_idle` carries it out."""
         if not self.fence.admits(order.token, self._clock.seconds()):
             return LoadOrderReply(order.order_id, False, "old fencing token")
         if self._order is None and self.targets != (order.target,):
             self._order = order
-            self._has_begun = False
+            self._has_started = False
             self._on_change()
         return LoadOrderReply(order.order_id, True)
 
     def start_if_idle(self, running: int) -> None:
-        """Have the engine load, once nothing runs on what it serves."""
+        """Start the pending load once no attempt is running."""
         order = self._order
-        if order is None or self._has_begun or running:
+        if order is None or self._has_started or running:
             return
-        self._has_begun = True
-        self._before, self.targets = self.targets, ()
+        self._has_started = True
+        self._previous_targets, self.targets = self.targets, ()
         self._backend.load(order.target, order.token).addCallback(self._on_loaded, order)
 
-    def _on_loaded(self, is_done: bool, order: LoadOrder) -> None:
+    def _on_loaded(self, is_loaded: bool, order: LoadOrder) -> None:
         self._order = None
-        self.targets = (order.target,) if is_done else self._before
+        self.targets = (order.target,) if is_loaded else self._previous_targets
         self._on_change()
--- a/umberhitch/tasks/peers.py
+++ b/umberhitch/tasks/peers.py
@@ -1,4 +1,4 @@
-"""What a router knows of the others: from the host list, and from their digests."""
+"""A router's view of its peers, from the host list and from the digests that they gossip."""
 
 from dataclasses import dataclass
 from random import Random
@@ -9,19 +9,21 @@
 __all__ = ["Peers", "PeersLimits"]
 
 MAX_MISSED_ROUNDS = 3
-"""Rounds in which every peer should have been heard once, before one counts as silent."""
+"""Gossip rounds without a digest after which a peer is presumed lost. In one round, a router
+receives one digest from each peer on average."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeersLimits:
-    """How often peers are told, and how long they may be silent.
+    """Fan-out of the gossip, and timeout of peers.
 
     Attributes
     ----------
-    per_round : int
-        Routers that get a digest each second; more would not make news travel much faster.
-    silence_s : float
-        At least; it grows with the number of peers, since each tells only a few.
+    gossip_fanout : int
+        Random peers that receive a digest each second. More would not spread updates much faster.
+    min_digest_timeout_s : float
+        Lower limit of the timeout of a peer, in seconds. The timeout grows with the number of
+        peers, since each peer sends its digest to only a few others.
     """
 
     gossip_fanout: int = 3
@@ -29,18 +31,18 @@
 
 
 @dataclass(slots=True)
-class _Peer:
+class _ReceivedDigest:
     digest: RouterDigest
-    heard_s: float
+    received_s: float
 
 
 class Peers:
-    """Owns a router's view of the other routers.
+    """Maintains a router's view of the other routers.
 
     Parameters
     ----------
     router : str
-        The own name.
+        Name of this router.
     incarnation : int
     clock : Clock
     rng : Random
@@ -63,12 +65,12 @@
         self._rng = rng
         self._link = link
         self._limits = limits
-        self._heard: dict[str, _Peer] = {}
+        self._digests: dict[str, _ReceivedDigest] = {}
         self.names: list[str] = []
-        """The other routers on the host list."""
+        """Names of the other routers on the host list."""
 
     def update_hosts(self, routers: dict[str, Host]) -> None:
-        """Take the routers on the host list."""
+        """Connect to routers that are new on the host list, and disconnect those that left it."""
         others = {name: host for name, host in routers.items() if name != self._router}
         for name, host in others.items():
             if name not in self.names:
@@ -79,30 +81,30 @@
         self.names = sorted(others)
 
     def sample(self) -> list[str]:
-        """Return a few random peers, for what is to travel by gossip."""
+        """Return the names of a few random peers, for gossip."""
         return self._rng.sample(self.names, min(self._limits.gossip_fanout, len(self.names)))
 
     def handle_digest(self, sender: str, digest: RouterDigest) -> bool:
-        """Take a digest; returns whether it is not from a replaced incarnation."""
-        known = self._heard.get(sender)
+        """Store a digest; return False if it is from an incarnation that was replaced."""
+        known = self._digests.get(sender)
         if known is not None and digest.incarnation < known.digest.incarnation:
             return False
-        self._heard[sender] = _Peer(digest, self._clock.seconds())
+        self._digests[sender] = _ReceivedDigest(digest, self._clock.seconds())
         return True
 
     @property
     def digest_timeout_s(self) -> float:
-        """How long a peer may be silent before it is taken for lost."""
+        """Seconds without a digest after which a peer is presumed lost."""
         rounds = MAX_MISSED_ROUNDS * len(self.names) / self._limits.gossip_fanout
         return max(self._limits.min_digest_timeout_s, rounds)
 
     def live_digests(self) -> list[RouterDigest]:
-        """Return the digests of the peers that were heard lately."""
-        horizon_s = self._clock.seconds() - self.digest_timeout_s
-        return [peer.digest for peer in self._heard.values() if peer.heard_s >= horizon_s]
+        """Return the latest digest of each live peer."""
+        oldest_s = self._clock.seconds() - self.digest_timeout_s
+        return [peer.digest for peer in self._digests.values() if peer.received_s >= oldest_s]
 
     def is_alive(self, name: str, incarnation: int) -> bool:
-        """Whether a router incarnation was heard lately, or is the own one."""
+        """Whether a router incarnation is a live peer or this router itself."""
         if name == self._router:
             return incarnation == self._incarnation
         return any(
@@ -111,10 +113,10 @@
         )
 
     def config_ages_s(self, revision: int) -> list[float]:
-        """Return how old a configuration of this revision may be, by each peer's word."""
+        """Return how old a configuration of this revision is in seconds, according to each peer."""
         now = self._clock.seconds()
         return [
-            peer.digest.config_age_s + now - peer.heard_s
-            for peer in self._heard.values()
+            peer.digest.config_age_s + now - peer.received_s
+            for peer in self._digests.values()
             if peer.digest.config_age_s >= 0 and peer.digest.revision <= revision
         ]
--- a/umberhitch/tasks/request_state.py
+++ b/umberhitch/tasks/request_state.py
@@ -1,4 +1,4 @@
-"""What the router's tasks know of a request while it is being served."""
+"""State of a request while a router serves it, and traces of its attempts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -25,16 +25,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerRequest:
-    """A request, as the core sees it.
+    """A caller's request, independent of the protocol that it arrived by.
 
     Attributes
     ----------
     spec : str
         Model, ``model@version``, ``auto``, or the name of a service.
-    deadline_s : float
-        Time that the caller gives, from now.
+    timeout_s : float
+        Seconds from the arrival of the request to its deadline.
     is_repeatable : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
+    is_streamed : bool
+        Whether the caller receives text as it is generated; such an answer cannot be retried
+        once text was sent.
     """
 
     request_id: str
@@ -49,17 +52,16 @@
     idempotency_key: str = ""
     fingerprint: str = ""
     is_streamed: bool = False
-    """Whether the caller sees the answer while it grows, so that it cannot be begun again."""
 
     @property
     def is_service(self) -> bool:
-        """Whether a plain service is called."""
+        """Whether the request calls a service and not a model."""
         return isinstance(self.work, ServiceWork)
 
 
 @dataclass(slots=True)
 class AttemptTrace:
-    """One attempt of a request, for explanations."""
+    """Trace of one attempt, shown by the operator API."""
 
     attempt: str
     target: str
@@ -69,7 +71,7 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """Why a request went where it went."""
+    """Trace of the placement and outcome of a request, shown by the operator API."""
 
     request: str
     customer: str
@@ -85,7 +87,28 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """The state of one request while it is being served."""
+    """State of a request in progress.
+
+    Attributes
+    ----------
+    deadline_s : float
+        Deadline on the router's clock.
+    sink : callable
+        Receives the text of the answer piece by piece.
+    on_placed : callable
+        Receives the locator of the answer each time an attempt is sent.
+    excluded : set of str
+        Endpoints that earlier attempts were sent to.
+    agents : list of str
+        Endpoints whose agents may hold a usage record of the request.
+    has_streamed_text : bool
+        Whether text was sent to a caller that receives a stream.
+    last_unknown : Unknown or None
+        Outcome of the last attempt that may have run.
+    last_refusal : NotRun or None
+        Outcome of the last refused attempt; returned if no endpoint is left, because it is more
+        specific.
+    """
 
     request: CallerRequest
     deadline_s: float
@@ -97,14 +120,12 @@
     attempt_count: int = 0
     has_streamed_text: bool = False
     last_unknown: Unknown | None = None
-    """Of an earlier attempt, which may have run."""
     last_refusal: NotRun | None = None
-    """Of an earlier attempt; it tells the caller more than that no endpoint is left."""
 
 
 @dataclass(slots=True)
 class AttemptPlacement:
-    """Where an attempt is to run."""
+    """Target, endpoint and agent incarnation chosen for an attempt."""
 
     target: str
     endpoint: Endpoint
@@ -113,7 +134,7 @@
 
 
 def format_outcome(outcome: Outcome) -> str:
-    """Return an outcome in one word or two."""
+    """Return an outcome as a short text with its reason."""
     match outcome:
         case Done():
             return "done"
@@ -124,7 +145,7 @@
 
 
 def make_recorded_answer(done: Done) -> RecordedAnswer:
-    """Return an outcome as it is kept for later callers with the same key."""
+    """Return an answer in the form recorded for later requests with the same key."""
     return RecordedAnswer(
         done.text,
         done.usage,
@@ -137,7 +158,7 @@
 
 
 def replay_answer(answer: RecordedAnswer) -> Done:
-    """Return a kept answer as an outcome."""
+    """Return a recorded answer as an outcome."""
     return Done(
         answer.text,
         answer.usage,
--- a/umberhitch/tasks/requests.py
+++ b/umberhitch/tasks/requests.py
@@ -1,4 +1,4 @@
-"""Requests at a router: from the caller's question to one of three outcomes."""
+"""Admission, placement, retries and accounting of the requests at a router."""
 
 from collections.abc import Callable
 from hashlib import sha256
@@ -50,17 +50,17 @@
         Reason.WITHDRAWN,
     }
 )
-"""Refusals after which another endpoint may do better."""
+"""Reasons of refusals after which another endpoint may be tried."""
 
 
 ENDPOINT_FAULTS = frozenset(
     {Reason.BACKEND_FAILED, Reason.BACKEND_REFUSED, Reason.NO_ANSWER, Reason.AGENT_LOST}
 )
-"""Outcomes that count against an endpoint."""
+"""Reasons of outcomes that count as failures of the endpoint."""
 
 
 class Requests:
-    """Owns the requests in progress at one router.
+    """Serves the requests of one router.
 
     Parameters
     ----------
@@ -69,6 +69,7 @@
     burn : BurnTask
     clock : Clock
     wall_s : callable
+        Returns seconds since the epoch.
     rng : Random
     """
 
@@ -86,7 +87,7 @@
         self._burn = burn
         self._clock = clock
         self._rng = rng
-        self._keyed = IdempotencyKeyRequests(router, self, clock, wall_s)
+        self._keyed_requests = IdempotencyKeyRequests(router, self, clock, wall_s)
         self._retry_tokens = MAX_RETRY_TOKENS
         self._idle_callbacks: list[Callable[[], None]] = []
         self._customer_by_key: dict[str, str] = {}
@@ -101,7 +102,7 @@
         return self._router.feed.config
 
     def rebuild_key_index(self) -> None:
-        """Index the customers' keys anew."""
+        """Rebuild the index of the customers' bearer keys."""
         self._customer_by_key = {
             digest: customer.name
             for customer in self.config.customers.values()
@@ -120,7 +121,7 @@
         return customer
 
     def when_idle(self, callback: Callable[[], None]) -> None:
-        """Call back once no request is in progress."""
+        """Call a function once no request is in progress."""
         if not self.open_count:
             callback()
         else:
@@ -130,27 +131,27 @@
 
     async def serve(
         self,
-        ask: CallerRequest,
+        req: CallerRequest,
         sink: TextSink,
         on_placed: Callable[[str], None] = lambda locator: None,
     ) -> Outcome:
-        """See a request through.
+        """Serve a request and return its outcome.
 
         Parameters
         ----------
-        ask : CallerRequest
+        req : CallerRequest
         sink : callable
-            Gets the answer piece by piece.
+            Receives the text of the answer piece by piece.
         on_placed : callable
-            Gets the locator of the answer each time an attempt is sent.
+            Receives the locator of the answer each time an attempt is sent.
         """
-        refusal = self._refusal(ask)
+        refusal = self._refusal(req)
         if refusal is not None:
             self._count(refusal)
             return refusal
-        trace = self._new_trace(ask)
+        trace = self._add_trace(req)
         progress = RequestProgress(
-            ask, self._clock.seconds() + ask.timeout_s, sink, trace, on_placed
+            req, self._clock.seconds() + req.timeout_s, sink, trace, on_placed
         )
         self.open_count += 1
         self._retry_tokens = min(
@@ -158,36 +159,38 @@
         )
         try:
             outcome = await (
-                self._keyed.serve(progress) if ask.idempotency_key else self._serve(progress)
+                self._keyed_requests.serve(progress)
+                if req.idempotency_key
+                else self._serve_unkeyed(progress)
             )
         finally:
-            self.admission.release(ask.customer.name)
+            self.admission.release(req.customer.name)
             self.open_count -= 1
-        self._conclude(progress, outcome)
+        self._finish(progress, outcome)
         return outcome
 
-    def _refusal(self, ask: CallerRequest) -> NotRun | None:
+    def _refusal(self, req: CallerRequest) -> NotRun | None:
         router = self._router
         if not router.is_ready:
-            return NotRun(Reason.LEAVING, "this router takes no requests", 0.5)
+            return NotRun(Reason.LEAVING, "this router does not accept requests", 0.5)
         if router.is_stale:
             return NotRun(
                 Reason.STALE_CONFIG, "the configuration may be out of date", LOG_RETRY_AFTER_S
             )
         if router.bills.is_full:
             return NotRun(Reason.LOG_DOWN, "usage cannot be recorded", LOG_RETRY_AFTER_S)
-        return self.admission.admit(ask.customer.name, ask.customer.limits, self._clock.seconds())
+        return self.admission.admit(req.customer.name, req.customer.limits, self._clock.seconds())
 
-    def _new_trace(self, ask: CallerRequest) -> RequestTrace:
+    def _add_trace(self, req: CallerRequest) -> RequestTrace:
         trace = RequestTrace(
-            ask.request_id, ask.customer.name, ask.klass.name, ask.spec, self._router.feed.revision
+            req.request_id, req.customer.name, req.klass.name, req.spec, self._router.feed.revision
         )
-        self.traces[ask.request_id] = trace
+        self.traces[req.request_id] = trace
         while len(self.traces) > MAX_TRACES:
             self.traces.pop(next(iter(self.traces)))
         return trace
 
-    def _conclude(self, progress: RequestProgress, outcome: Outcome) -> None:
+    def _finish(self, progress: RequestProgress, outcome: Outcome) -> None:
         trace = progress.trace
         match outcome:
             case Done(replayed=replayed):
@@ -228,76 +231,76 @@
         self.outcome_counts[name] = self.outcome_counts.get(name, 0) + 1
 
     def _bill(self, progress: RequestProgress, done: Done) -> None:
-        ask = progress.request
+        req = progress.request
         cost = cost_micros(self.config.versions.get(done.target), done.usage)
         progress.trace.cost_micros = cost
         record = UsageRecord(
-            ask.request_id,
-            ask.customer.name,
+            req.request_id,
+            req.customer.name,
             done.target,
             done.usage,
             cost,
             progress.attempt_count,
-            ask.klass.name,
+            req.klass.name,
         )
         self._router.bills.write(record, progress.agents)
 
     # Attempts
 
-    async def _serve(self, progress: RequestProgress) -> Outcome:
+    async def _serve_unkeyed(self, progress: RequestProgress) -> Outcome:
         while True:
             placement = self.place_attempt(progress)
             if isinstance(placement, NotRun):
-                return self._truthful(progress, progress.last_refusal or placement)
+                return self._overall_outcome(progress, progress.last_refusal or placement)
             outcome = await self.run_attempt(progress, placement)
             if not self.may_retry(progress, outcome):
-                return self._truthful(progress, outcome)
+                return self._overall_outcome(progress, outcome)
             progress.excluded.add(placement.endpoint.name)
 
-    def _truthful(self, progress: RequestProgress, outcome: Outcome) -> Outcome:
-        """Return an outcome that covers every attempt: one that may have run is not "not run"."""
+    def _overall_outcome(self, progress: RequestProgress, outcome: Outcome) -> Outcome:
+        """Return the overall outcome; a refusal is unknown if an earlier attempt may have run."""
         if isinstance(outcome, NotRun) and progress.last_unknown is not None:
             return progress.last_unknown
         return outcome
 
     async def run_attempt(self, progress: RequestProgress, placement: AttemptPlacement) -> Outcome:
-        """Run one attempt and return how it ended."""
-        ask = progress.request
-        began_s = self._clock.seconds()
+        """Run one attempt and return its outcome."""
+        req = progress.request
+        started_s = self._clock.seconds()
         progress.attempt_count += 1
         endpoint = placement.endpoint
         start = Start(
             placement.attempt,
             placement.agent_incarnation,
-            ask.request_id,
-            ask.customer.name,
+            req.request_id,
+            req.customer.name,
             placement.target,
-            ask.work,
-            ask.klass.priority,
+            req.work,
+            req.klass.priority,
             max(0.0, progress.deadline_s - self._clock.seconds()),
             self._router.feed.revision,
-            ask.session_token,
-            ask.klass.name,
+            req.session_token,
+            req.klass.name,
         )
         trace = AttemptTrace(str(placement.attempt), placement.target, endpoint.name)
         progress.trace.attempts.append(trace)
         progress.trace.locator = format_locator(
-            Locator(ask.request_id, endpoint.name, placement.agent_incarnation, placement.attempt)
+            Locator(req.request_id, endpoint.name, placement.agent_incarnation, placement.attempt)
         )
         progress.on_placed(progress.trace.locator)
         if endpoint.name not in progress.agents:
             progress.agents.append(endpoint.name)
-        watch = self._router.attempts.run(
-            start, endpoint.name, ask.is_repeatable, self._text_sink(progress)
+        open_attempt = self._router.attempts.run(
+            start, endpoint.name, req.is_repeatable, self._text_sink(progress)
         )
-        outcome = await self._router.attempts.outcome_of(watch)
+        outcome = await self._router.attempts.outcome_of(open_attempt)
         trace.outcome = format_outcome(outcome)
         self._evidence.note_attempt_finished(
             placement.target,
-            ask.klass.name,
+            req.klass.name,
             outcome,
-            self._clock.seconds() - began_s,
-            ask.work,
+            self._clock.seconds() - started_s,
+            req.work,
         )
         fleet = self._router.fleet
         match outcome:
@@ -314,60 +317,60 @@
         return outcome
 
     def _text_sink(self, progress: RequestProgress) -> TextSink:
-        def take(text: str) -> None:
+        def write(text: str) -> None:
             progress.has_streamed_text = progress.request.is_streamed
             progress.sink(text)
 
-        return take
+        return write
 
     def place_attempt(self, progress: RequestProgress) -> AttemptPlacement | NotRun:
-        """Choose version and endpoint for the next attempt, or say why there is none."""
-        ask = progress.request
+        """Choose version and endpoint of the next attempt, or return why there is none."""
+        req = progress.request
         target = self._choose_target(progress)
         if isinstance(target, NotRun):
             return target
         pool = self._router.fleet.candidates(target)
-        near = pool.by_zone.get(self._router.settings.zone, ())
+        same_zone = pool.by_zone.get(self._router.settings.zone, ())
         endpoint = choose_endpoint(
             pool.endpoints,
-            near,
+            same_zone,
             self._rng,
             progress.excluded,
-            ask.klass.priority <= URGENT_PRIORITY,
+            req.klass.priority <= URGENT_PRIORITY,
         )
         if endpoint is None:
             return NotRun(
-                Reason.NO_ENDPOINT, f'no endpoint for "{ask.spec}"', NO_ENDPOINT_RETRY_AFTER_S
+                Reason.NO_ENDPOINT, f'no endpoint for "{req.spec}"', NO_ENDPOINT_RETRY_AFTER_S
             )
         attempt = self._router.attempts.next_id()
         return AttemptPlacement(target, endpoint, attempt, endpoint.incarnation)
 
     def _choose_target(self, progress: RequestProgress) -> str | NotRun:
-        ask = progress.request
-        if ask.is_service:
-            if ask.spec not in ask.customer.services:
-                return NotRun(Reason.NOT_PERMITTED, f'no service "{ask.spec}" for this customer')
-            return ask.spec
-        versions = permitted_versions(self.config, ask.customer.name, ask.spec, ask.session)
+        req = progress.request
+        if req.is_service:
+            if req.spec not in req.customer.services:
+                return NotRun(Reason.NOT_PERMITTED, f'no service "{req.spec}" for this customer')
+            return req.spec
+        versions = permitted_versions(self.config, req.customer.name, req.spec, req.session)
         if isinstance(versions, NotRun):
             return versions
-        stops, fold = self._router.withdrawals, self._router.feed.fold
-        versions = [ver for ver in versions if not stops.is_withdrawn(ver.key, fold)]
+        withdrawals, fold = self._router.withdrawals, self._router.feed.fold
+        versions = [ver for ver in versions if not withdrawals.is_withdrawn(ver.key, fold)]
         if not versions:
-            return NotRun(Reason.WITHDRAWN, f'no version of "{ask.spec}" takes new work')
+            return NotRun(Reason.WITHDRAWN, f'no version of "{req.spec}" takes new work')
 
         def has_endpoint(target: str) -> bool:
             return self._router.fleet.candidates(target).has_other_than(progress.excluded)
 
-        ver = choose_version(versions, ask.klass, has_endpoint, self._rng)
+        ver = choose_version(versions, req.klass, has_endpoint, self._rng)
         if ver is None:
             return NotRun(
-                Reason.NO_ENDPOINT, f'no endpoint for "{ask.spec}"', NO_ENDPOINT_RETRY_AFTER_S
+                Reason.NO_ENDPOINT, f'no endpoint for "{req.spec}"', NO_ENDPOINT_RETRY_AFTER_S
             )
         return ver.key
 
     def may_retry(self, progress: RequestProgress, outcome: Outcome) -> bool:
-        """Whether another attempt may follow; if so, the retry budget has paid for it."""
+        """Whether another attempt may follow; if so, it is charged to the retry budget."""
         match outcome:
             case NotRun(reason=reason) if reason in RETRYABLE_REASONS:
                 pass
--- a/umberhitch/tasks/resume.py
+++ b/umberhitch/tasks/resume.py
@@ -1,4 +1,4 @@
-"""Answers that a caller comes back for, at any router, by the locator that it was given."""
+"""Fetching of answers at any router by the locator that the caller was given."""
 
 from dataclasses import dataclass, replace
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Locator:
-    """Where an answer is: which attempt, at which incarnation of which endpoint's agent."""
+    """Attempt that an answer belongs to, and the agent incarnation that holds it."""
 
     request_id: str
     endpoint: str
@@ -38,7 +38,7 @@
 
 
 def parse_locator(text: str) -> Locator | None:
-    """Return the locator in a text, or None if it is none."""
+    """Return the locator that a text holds, or None if the text is not a locator."""
     parts = text.split(SEPARATOR)
     if len(parts) != 6:
         return None
@@ -64,14 +64,14 @@
         self._fleet = fleet
 
     async def fetch(self, locator: Locator, customer: str, offset: int) -> Outcome:
-        """Return the answer from an offset, waiting for its end."""
+        """Wait for the end of an answer and return it from an offset on."""
         endpoint = self._fleet.get(locator.endpoint)
         if endpoint is None or endpoint.incarnation != locator.agent_incarnation:
             return Unknown(Reason.AGENT_LOST, "the agent that held the answer is gone")
-        watch = self._attempts.fetch(locator.attempt, endpoint, customer, FETCH_TIMEOUT_S)
-        if watch.customer != customer:
+        open_attempt = self._attempts.fetch(locator.attempt, endpoint, customer, FETCH_TIMEOUT_S)
+        if open_attempt.customer != customer:
             return NotRun(Reason.NOT_PERMITTED, "the answer belongs to another customer")
-        outcome = await self._attempts.outcome_of(watch)
+        outcome = await self._attempts.outcome_of(open_attempt)
         if isinstance(outcome, Done):
             return replace(outcome, text=outcome.text[offset:])
-        return Unknown(outcome.reason, outcome.detail or "the answer is not there")
+        return Unknown(outcome.reason, outcome.detail or "the agent does not hold the answer")
--- a/umberhitch/tasks/rollouts.py
+++ b/umberhitch/tasks/rollouts.py
@@ -1,4 +1,4 @@
-"""Drives roll-outs while this router holds the lease for it."""
+"""Drives roll-outs while this router holds the lease for them."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -45,11 +45,11 @@
 
 
 class RolloutError(UmberhitchError):
-    """An operator asked for what the roll-out's state does not admit."""
+    """An operator's command is invalid in the state of the roll-out."""
 
 
 class RolloutDriver:
-    """Owns the orders of one router.
+    """Decides the steps of roll-outs, and sends load orders to agents.
 
     Parameters
     ----------
@@ -58,6 +58,7 @@
     lease : LeaseManager
     clock : Clock
     wall_s : callable
+        Returns seconds since the epoch.
     """
 
     def __init__(
@@ -74,20 +75,20 @@
         self._clock = clock
         self._wall_s = wall_s
         self._orders: dict[str, tuple[LoadOrder, float]] = {}
-        self._pending: str | None = None
+        self._pending_change_id: str | None = None
         self._was_driving = False
         self._driving_since_s = 0.0
         self.refused_orders = 0
 
-    # Operators
+    # Commands of operators
 
     def command(self, action: str, version: str, previous: str | None) -> Deferred[Verdict]:
-        """Carry out an operator's command on a roll-out.
+        """Execute an operator's command on a roll-out.
 
         Raises
         ------
         RolloutError
-            If the roll-out's state does not admit it.
+            If the command is invalid in the state of the roll-out.
         """
         feed = self._router.feed
         plan = feed.config.rollouts.get(version)
@@ -96,7 +97,7 @@
         elif plan is None:
             raise RolloutError(f"there is no roll-out of {version}")
         else:
-            plan = _commanded(plan, action, self._wall_s())
+            plan = _apply_command(plan, action, self._wall_s())
         seen = feed.fold.revisions.get(f"rollouts/{version}", 0)
         ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(plan), seen)]
         old = feed.config.versions.get(plan.previous)
@@ -110,9 +111,9 @@
         new = config.versions.get(version)
         if new is None:
             raise RolloutError(f"unknown version {version}")
-        known = config.rollouts.get(version)
-        if known is not None and known.state in (RolloutState.RUNNING, RolloutState.HELD):
-            raise RolloutError(f"the roll-out of {version} is {known.state.value}")
+        current = config.rollouts.get(version)
+        if current is not None and current.state in (RolloutState.RUNNING, RolloutState.HELD):
+            raise RolloutError(f"the roll-out of {version} is {current.state.value}")
         others = [
             other.key
             for other in config.versions_of(new.model)
@@ -135,14 +136,15 @@
         )
 
     def _put_version(self, ver: Version) -> Put:
-        """Return the change of a version, void if anyone has changed it in the meantime.
+        """Return the operation that replaces a version, conditional on the version's revision.
 
-        Without that a step that was decided just before a withdrawal would undo it.
+        Without the condition, a step that was decided just before a withdrawal would undo the
+        withdrawal.
         """
         seen = self._router.feed.fold.revisions.get(f"versions/{ver.key}", 0)
         return Put(Kind.VERSION, to_builtins(ver), seen)
 
-    # Driving
+    # Steps of the driving router
 
     @property
     def is_driving(self) -> bool:
@@ -150,7 +152,7 @@
         return self._lease.token is not None
 
     def tick(self) -> None:
-        """Take the next step of each roll-out; called once a second."""
+        """Take the next step of each roll-out; called once per second."""
         token = self._lease.token
         if token is None:
             self._orders.clear()
@@ -168,13 +170,13 @@
     def _drive(self, plan: Rollout, token: int) -> None:
         if plan.state is RolloutState.PLANNED:
             self._evidence.judge.set_predecessor(plan.version, plan.previous)
-        match next_step(plan, self._view(plan)):
+        match next_step(plan, self._make_view(plan)):
             case LoadEndpoint(endpoint=endpoint, target=target):
-                self._order(endpoint, target, token)
+                self._send_order(endpoint, target, token)
             case UpdatePlan() as update:
-                self._update(plan, update)
+                self._submit_step(plan, update)
 
-    def _view(self, plan: Rollout) -> RolloutView:
+    def _make_view(self, plan: Rollout) -> RolloutView:
         fleet, judge = self._router.fleet, self._evidence.judge
         rows = tuple(
             EndpointView(
@@ -197,8 +199,8 @@
             self._driving_since_s,
         )
 
-    def _update(self, plan: Rollout, update: UpdatePlan) -> None:
-        """Submit a step as a change that is based on the plan's revision."""
+    def _submit_step(self, plan: Rollout, update: UpdatePlan) -> None:
+        """Submit a step as a change that is conditional on the plan's revision."""
         feed = self._router.feed
         seen = feed.fold.revisions.get(f"rollouts/{plan.version}", 0)
         ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(update.plan), seen)]
@@ -206,9 +208,9 @@
         newest = max(op.if_revision or 0 for op in ops)
         step = f"{update.plan.state.value}-{update.plan.stage}"
         change_id = f"rollout-{plan.version}-{step}-{seen}-{newest}"
-        if self._pending == change_id:
+        if self._pending_change_id == change_id:
             return
-        self._pending = change_id
+        self._pending_change_id = change_id
         judge = self._evidence.judge
         judge.attempt_counts.pop(plan.version, None)
         judge.rating_counts.pop(plan.version, None)
@@ -225,7 +227,7 @@
         submitted = self._router.submit_change(Change(change_id, author, ops))
         submitted.addErrback(lambda failure: None)
 
-    def _order(self, endpoint: str, target: str, token: int) -> None:
+    def _send_order(self, endpoint: str, target: str, token: int) -> None:
         if endpoint in self._orders:
             return
         order = LoadOrder(token, f"{token}/{endpoint}/{target}", target)
@@ -243,7 +245,7 @@
                 self._router.send(endpoint, order)
 
     def handle_reply(self, reply: LoadOrderReply) -> None:
-        """Take an agent's answer to an order."""
+        """Drop an order that its agent refused."""
         if reply.is_accepted:
             return
         self.refused_orders += 1
@@ -252,8 +254,8 @@
                 del self._orders[endpoint]
 
 
-def _commanded(plan: Rollout, action: str, now_s: float) -> Rollout:
-    """Return the plan after an operator's command; raises if its life cycle does not admit it."""
+def _apply_command(plan: Rollout, action: str, now_s: float) -> Rollout:
+    """Return the plan after an operator's command; raise if its state does not permit it."""
     life, cell = make_rollout_lifecycle(plan.state)
     try:
         match action:
