--- a/umberhitch/tasks/router.py
+++ b/umberhitch/tasks/router.py
@@ -1,4 +1,4 @@
-"""The router: its tasks put together, its peers, and its life cycle."""
+"""The router: assembly of its tasks, messages from agents and peers, and life cycle."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -56,22 +56,27 @@
 
 
 PUBLISH_GRACE_S = 2.0
-"""How long another router is given to feed an agent, before this one does it too."""
+"""Seconds left to the publishers of an agent before this router also sends it the configuration."""
 MAX_HEARTBEATS_PER_S = 50.0
-"""Heartbeats that a router hears in a second before it asks agents to slow down."""
+"""Heartbeats per second above which a router asks its agents for a longer interval."""
 BILLING_APPENDS_PER_S = 100.0
 CLAIM_APPENDS_PER_S = 150.0
-"""Appends that all routers together may make; the platform's log takes several hundred a second."""
+"""Maximum appends per second of all routers together, for usage records and for claims.
+
+The platform's log takes several hundred a second.
+"""
 
 
 def withdrawn_versions(change: Change) -> list[str]:
-    """Return the versions to which a change gives no work any more, sessions included."""
-    stopping = (VersionState.WITHDRAWN, VersionState.QUARANTINED)
-    return [op.version for op in change.ops if isinstance(op, SetState) and op.state in stopping]
+    """Return the versions that a change withdraws from all work, including that of sessions."""
+    withdrawn_states = (VersionState.WITHDRAWN, VersionState.QUARANTINED)
+    return [
+        op.version for op in change.ops if isinstance(op, SetState) and op.state in withdrawn_states
+    ]
 
 
 class RouterState(StrEnum):
-    """Whether a router takes requests."""
+    """Life cycle state of a router."""
 
     STARTING = "starting"
     READY = "ready"
@@ -80,7 +85,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RouterSettings:
-    """What a router is told about itself."""
+    """Settings of a router."""
 
     name: str
     incarnation: int
@@ -96,7 +101,7 @@
     evidence: EvidenceLimits = EvidenceLimits()
     evidence_interval_s: float = 1.0
     rating_sample: float = 1.0
-    """Share of answers that are sent to the rating service."""
+    """Fraction of answers that are sent to the rating service."""
 
 
 class Router:
@@ -113,7 +118,8 @@
     log_port : LogPort
     host_list : HostListPort
     ratings : RatingPort or None
-        None where the platform has no rating service; failures and latency are judged alone.
+        None if the platform has no rating service; versions are then judged by failures and
+        latency alone.
     """
 
     def __init__(
@@ -133,8 +139,8 @@
         self.rng = rng
         self._link = link
         self._host_list = host_list
-        self._next_greeted = 0
-        self._changed_s = 0.0
+        self._next_hello_index = 0
+        self._config_changed_s = 0.0
         self._is_stopped = False
         self.peers = Peers(settings.name, settings.incarnation, clock, rng, link, settings.peers)
         self._drained: Deferred[None] | None = None
@@ -169,19 +175,19 @@
     # Life cycle
 
     def start(self) -> None:
-        """Begin to follow the log, find agents and answer them."""
+        """Start to follow the log, to discover agents and to receive messages."""
         self._link.listen(self.receive)
         self.attempts.start()
         self.feed.start()
         self.claims.start()
         self.lease.start()
-        self._every(1.0, self._drive)
+        self._every(1.0, self._drive_rollouts)
         self._every(self.settings.host_list_interval_s, self._refresh_hosts)
-        self._every(self.settings.hello_interval_s, self._greet)
+        self._every(self.settings.hello_interval_s, self._send_hellos_and_digests)
         self._every(self.settings.evidence_interval_s, self.evidence.send_evidence)
 
     def stop(self) -> None:
-        """Do nothing more, as a lost process would."""
+        """Stop all activity without draining, as if the process had exited."""
         self._is_stopped = True
         self.attempts.stop()
         self.feed.stop()
@@ -189,7 +195,7 @@
         self.lease.stop()
 
     def drain(self) -> Deferred[None]:
-        """Take no new request; the result comes when all are answered and billed."""
+        """Refuse new requests; the Deferred fires once requests are done and usage is recorded."""
         self.state = RouterState.DRAINING
         if self._drained is None:
             self._drained = Deferred()
@@ -213,16 +219,16 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the router has a configuration and is not leaving."""
+        """Whether the router has a configuration and is not draining."""
         return self.state is not RouterState.DRAINING and self.feed.is_ready
 
     # Hosts and peers
 
     def _refresh_hosts(self) -> None:
-        ensureDeferred(self._read_hosts()).addErrback(self._note_host_error)
+        ensureDeferred(self._read_hosts()).addErrback(self._log_host_error)
 
-    def _note_host_error(self, failure: object) -> None:
-        log.warning("host list not read", extra={"error": str(failure)})
+    def _log_host_error(self, failure: object) -> None:
+        log.warning("could not read host list", extra={"error": str(failure)})
 
     async def _read_hosts(self) -> None:
         hosts = await self._host_list.hosts()
@@ -230,20 +236,22 @@
             self.apply_host_list(hosts)
 
     def apply_host_list(self, hosts: list[Host]) -> None:
-        """Take the platform's list of hosts."""
+        """Update agents and peers from the platform's list of hosts."""
         zones = {host.name: host.zone for host in hosts if host.role is HostRole.ROUTER}
         self._subsets.set_routers({**zones, self.settings.name: self.settings.zone})
         agents = [
             host for host in hosts if host.role is HostRole.AGENT and self._subsets.serves(host)
         ]
-        served = {host.name for host in agents}
+        served_names = {host.name for host in agents}
         self.fleet.forget_endpoints(
-            host.name for host in hosts if host.role is HostRole.AGENT and host.name not in served
+            host.name
+            for host in hosts
+            if host.role is HostRole.AGENT and host.name not in served_names
         )
-        moved = self.fleet.update_hosts(agents)
+        changed = self.fleet.update_hosts(agents)
         for host in agents:
             self.fleet.endpoints[host.name].is_config_pushed = self._subsets.publishes_to(host)
-        for endpoint in moved:
+        for endpoint in changed:
             self._link.connect(endpoint.name, endpoint.address)
             self._link.send(endpoint.name, self._hello())
         self.peers.update_hosts({host.name: host for host in hosts if host.role is HostRole.ROUTER})
@@ -252,38 +260,45 @@
         self.bills.appender.limit_append_rate(count, BILLING_APPENDS_PER_S)
         self.claims.appender.limit_append_rate(count, CLAIM_APPENDS_PER_S)
 
-    def _drive(self) -> None:
+    def _drive_rollouts(self) -> None:
         self.lease.tick(self.state is RouterState.DRAINING)
         self.rollouts.tick()
 
     def _hello(self) -> Hello:
         cfg = self.settings
         token = self.lease.highest_token
-        return Hello(cfg.name, cfg.incarnation, cfg.zone, self.feed.revision, token, self._beat_s())
+        return Hello(
+            cfg.name,
+            cfg.incarnation,
+            cfg.zone,
+            self.feed.revision,
+            token,
+            self._heartbeat_interval_s(),
+        )
 
-    def _beat_s(self) -> float:
-        """Return how often agents are to be heard, so that many do not cost too much."""
+    def _heartbeat_interval_s(self) -> float:
+        """Return the heartbeat interval in seconds, longer with many agents to bound the cost."""
         return max(self.settings.hello_interval_s, len(self.fleet.endpoints) / MAX_HEARTBEATS_PER_S)
 
-    def _greet(self) -> None:
+    def _send_hellos_and_digests(self) -> None:
         self.fleet.refresh_pools()
-        self._greet_agents()
+        self._send_hellos()
         digest = self.make_digest()
         for name in self.peers.sample():
             self._link.send(name, digest)
 
-    def _greet_agents(self) -> None:
-        """Greet the agents, all within the pace at which they are to be heard."""
+    def _send_hellos(self) -> None:
+        """Send hellos to a share of the agents, such that each gets one per heartbeat interval."""
         hello = self._hello()
         self.fleet.set_heartbeat_interval(hello.heartbeat_interval_s)
         names = list(self.fleet.endpoints)
         count = ceil(len(names) * self.settings.hello_interval_s / hello.heartbeat_interval_s)
         for index in range(min(count, len(names))):
-            self._link.send(names[(self._next_greeted + index) % len(names)], hello)
-        self._next_greeted += count
+            self._link.send(names[(self._next_hello_index + index) % len(names)], hello)
+        self._next_hello_index += count
 
     def make_digest(self) -> RouterDigest:
-        """Return what other routers are told of this one."""
+        """Return the digest of this router that is sent to its peers."""
         cfg = self.settings
         return RouterDigest(
             cfg.name,
@@ -295,10 +310,10 @@
         )
 
     def config_age_s(self) -> float:
-        """Return how old the configuration may be at most, in seconds; negative if not known.
+        """Return the maximum age of the configuration in seconds, or a negative number if unknown.
 
-        It is as fresh as the router's own last look at the end of the log, or as that of any peer
-        that it has heard and does not lag behind.
+        The age counts from the last read of the end of the log by this router, or by any peer whose
+        revision this router has reached.
         """
         ages = self.peers.config_ages_s(self.revision)
         if self.feed.caught_up_s is not None:
@@ -307,24 +322,24 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether the configuration is older than the policy admits."""
+        """Whether the configuration is older than the policy permits."""
         limit_s = self.feed.config.policy.max_staleness_s
         age_s = self.config_age_s()
         return limit_s > 0 and (age_s < 0 or age_s > limit_s)
 
     def _on_config(self) -> None:
-        """Feed agents as soon as the revision has grown."""
+        """Apply a new revision and send it to the agents that this router publishes to."""
         self.requests.rebuild_key_index()
         self.claims.fold.ttl_s = self.feed.config.policy.idempotency_ttl_s
         if self.state is RouterState.STARTING:
             self.state = RouterState.READY
-        self._changed_s = self._clock.seconds()
+        self._config_changed_s = self._clock.seconds()
         for endpoint in self.fleet.endpoints.values():
             if endpoint.incarnation >= 0 and endpoint.is_config_pushed:
-                self._feed(endpoint, max(endpoint.revision, endpoint.sent_revision))
+                self._publish_config(endpoint, max(endpoint.revision, endpoint.sent_revision))
 
-    def _feed(self, endpoint: Endpoint, revision: int) -> None:
-        """Send an agent what follows a revision."""
+    def _publish_config(self, endpoint: Endpoint, revision: int) -> None:
+        """Send an agent the configuration records that follow a revision."""
         self._send_update(endpoint.name, revision)
         endpoint.sent_revision = self.feed.revision
 
@@ -341,29 +356,29 @@
         }
 
     def live_peers(self) -> list[str]:
-        """Return the names of the routers that were heard lately."""
+        """Return the names of the peers whose digests are recent."""
         return [digest.router for digest in self.peers.live_digests()]
 
     def send(self, peer: str, message: Message) -> None:
-        """Send a message to another router, or to an agent."""
+        """Send a message to another router or to an agent."""
         self._link.send(peer, message)
 
     def withdraw_version(self, message: Withdrawal) -> None:
-        """Stop a version here, and tell every agent and peer, ahead of the log."""
-        self._stop_version(message, self.peers.names)
+        """Withdraw a version here and at every agent and peer, before the log has the record."""
+        self._apply_withdrawal(message, self.peers.names)
 
-    def _pass_on_withdrawal(self, message: Withdrawal) -> None:
-        """Stop a version that a peer has stopped; few peers are told, else all would tell all."""
-        self._stop_version(message, self.peers.sample())
+    def _gossip_withdrawal(self, message: Withdrawal) -> None:
+        """Apply a peer's withdrawal and gossip it to a sample of peers to bound the messages."""
+        self._apply_withdrawal(message, self.peers.sample())
 
-    def _stop_version(self, message: Withdrawal, peers: list[str]) -> None:
+    def _apply_withdrawal(self, message: Withdrawal, peers: list[str]) -> None:
         if not self.withdrawals.add(message, self.feed.fold):
             return
         for name in (*self.fleet.endpoints, *peers):
             self._link.send(name, message)
 
     def submit_change(self, change: Change) -> Deferred[Verdict]:
-        """Submit a change of configuration; what it stops is stopped before the log has it."""
+        """Submit a configuration change; its withdrawals take effect before it is in the log."""
         for version in withdrawn_versions(change):
             self.withdraw_version(Withdrawal(version, change.change_id))
         return self.feed.submit(change)
@@ -371,7 +386,7 @@
     # Messages
 
     def receive(self, sender: str, messages: list[Message]) -> None:
-        """Handle what an agent or another router sent."""
+        """Handle messages from an agent or another router."""
         if self._is_stopped:
             return
         for message in messages:
@@ -382,7 +397,7 @@
             case Chunk() | AttemptAccepted() | Finished() | Refused() | Failed():
                 self.attempts.handle(message)
             case Heartbeat():
-                self._on_beat(message)
+                self._on_heartbeat(message)
             case ConfigRequest(revision=revision):
                 self._send_update(sender, revision)
             case UsageHandover(records=records):
@@ -396,7 +411,7 @@
             case ConfigSnapshot(data=data):
                 self.feed.apply_peer_snapshot(data)
             case Withdrawal():
-                self._pass_on_withdrawal(message)
+                self._gossip_withdrawal(message)
             case LoadOrderReply():
                 self.rollouts.handle_reply(message)
             case BurnRequest():
@@ -408,16 +423,16 @@
             case _:
                 log.warning("unexpected message", extra={"message_type": type(message).__name__})
 
-    def _on_beat(self, beat: Heartbeat) -> None:
-        replaced = self.fleet.handle_heartbeat(beat)
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        replaced = self.fleet.handle_heartbeat(heartbeat)
         if replaced is not None:
-            self.attempts.handle_agent_replaced(beat.endpoint, beat.incarnation)
-        endpoint = self.fleet.get(beat.endpoint)
-        if endpoint is None or endpoint.incarnation != beat.incarnation:
+            self.attempts.handle_agent_replaced(heartbeat.endpoint, heartbeat.incarnation)
+        endpoint = self.fleet.get(heartbeat.endpoint)
+        if endpoint is None or endpoint.incarnation != heartbeat.incarnation:
             return
-        is_settled = self._clock.seconds() - self._changed_s >= PUBLISH_GRACE_S
-        if beat.revision < self.feed.revision and (endpoint.is_config_pushed or is_settled):
-            self._feed(endpoint, beat.revision)
+        is_past_grace = self._clock.seconds() - self._config_changed_s >= PUBLISH_GRACE_S
+        if heartbeat.revision < self.feed.revision and (endpoint.is_config_pushed or is_past_grace):
+            self._publish_config(endpoint, heartbeat.revision)
 
     def _on_digest(self, sender: str, digest: RouterDigest) -> None:
         if not self.peers.handle_digest(sender, digest):
--- a/umberhitch/tasks/router_parts.py
+++ b/umberhitch/tasks/router_parts.py
@@ -1,4 +1,4 @@
-"""What the tasks of one router need of each other, as a port: none of them knows the router."""
+"""Protocols through which the tasks of a router use each other without importing the router."""
 
 from typing import Protocol
 
@@ -21,21 +21,21 @@
 
 
 class RouterIdentity(Protocol):
-    """Who a router is."""
+    """Name and zone of a router."""
 
     @property
     def name(self) -> str:
-        """Name, the same over restarts."""
+        """Name of the router, unchanged over restarts."""
         ...
 
     @property
     def zone(self) -> str:
-        """Availability zone."""
+        """Availability zone of the router."""
         ...
 
 
 class RouterParts(Protocol):
-    """The parts of one router incarnation."""
+    """Components of one router incarnation that its tasks share."""
 
     feed: ConfigFeed
     fleet: Fleet
@@ -48,29 +48,29 @@
 
     @property
     def settings(self) -> RouterIdentity:
-        """Who the router is."""
+        """Name and zone of the router."""
         ...
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests are taken."""
+        """Whether the router accepts requests."""
         ...
 
     @property
     def is_stale(self) -> bool:
-        """Whether the configuration may be too old to go by."""
+        """Whether the configuration may be older than the policy permits."""
         ...
 
     def live_peers(self) -> list[str]:
-        """Return the names of the routers that were heard lately."""
+        """Return the names of the peers whose digests are recent."""
         ...
 
     def send(self, peer: str, message: Message) -> None:
-        """Send a message to another router, or to an agent."""
+        """Send a message to another router or to an agent."""
         ...
 
     def submit_change(self, change: Change) -> Deferred[Verdict]:
-        """Submit a change of configuration."""
+        """Submit a change of the configuration."""
         ...
 
 
@@ -78,13 +78,13 @@
     """Places and runs single attempts of a request."""
 
     def place_attempt(self, progress: RequestProgress) -> AttemptPlacement | NotRun:
-        """Return where the next attempt goes, or why it cannot."""
+        """Return the placement of the next attempt, or why there is none."""
         ...
 
     async def run_attempt(self, progress: RequestProgress, placement: AttemptPlacement) -> Outcome:
-        """Run one attempt to its outcome."""
+        """Run one attempt and return its outcome."""
         ...
 
     def may_retry(self, progress: RequestProgress, outcome: Outcome) -> bool:
-        """Whether another attempt may be made after an outcome."""
+        """Whether another attempt may follow an outcome."""
         ...
--- a/umberhitch/tasks/tests/test_peers.py
+++ b/umberhitch/tasks/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""A router's view of the others."""
+"""Tests of a router's view of its peers."""
 
 from random import Random
 
@@ -18,13 +18,15 @@
     return clock, peers
 
 
-def digest(name: str, incarnation: int = 1, revision: int = 0, age_s: float = 0.5) -> RouterDigest:
+def make_digest(
+    name: str, incarnation: int = 1, revision: int = 0, age_s: float = 0.5
+) -> RouterDigest:
     return RouterDigest(name, incarnation, "a", revision, {}, age_s)
 
 
-def test_a_peer_that_falls_silent_is_lost() -> None:
+def test_a_peer_without_recent_digests_is_lost() -> None:
     clock, peers = make_peers(3)
-    peers.handle_digest("r1", digest("r1"))
+    peers.handle_digest("r1", make_digest("r1"))
     assert peers.is_alive("r1", 1)
     assert not peers.is_alive("r1", 2)
     clock.advance(10.5)
@@ -32,24 +34,24 @@
     assert peers.is_alive("r0", 1)
 
 
-def test_many_peers_are_heard_less_often_and_given_longer() -> None:
-    """Each tells three others a second, so that one of many is heard rarely."""
+def test_the_timeout_grows_with_the_number_of_peers() -> None:
+    """Each peer sends digests to three others per second, so those of one of many are rare."""
     clock, peers = make_peers(370)
-    peers.handle_digest("r1", digest("r1"))
+    peers.handle_digest("r1", make_digest("r1"))
     clock.advance(200.0)
     assert peers.is_alive("r1", 1)
 
 
-def test_a_replaced_incarnation_is_not_heard_again() -> None:
+def test_a_digest_of_a_replaced_incarnation_is_ignored() -> None:
     _, peers = make_peers(3)
-    assert peers.handle_digest("r1", digest("r1", incarnation=5))
-    assert not peers.handle_digest("r1", digest("r1", incarnation=4))
+    assert peers.handle_digest("r1", make_digest("r1", incarnation=5))
+    assert not peers.handle_digest("r1", make_digest("r1", incarnation=4))
 
 
-def test_a_configuration_is_as_old_as_a_peer_says_and_the_time_since() -> None:
+def test_the_configuration_age_includes_the_time_since_the_digest() -> None:
     clock, peers = make_peers(3)
-    peers.handle_digest("r1", digest("r1", revision=3, age_s=0.5))
-    peers.handle_digest("r2", digest("r2", revision=9, age_s=0.1))
+    peers.handle_digest("r1", make_digest("r1", revision=3, age_s=0.5))
+    peers.handle_digest("r2", make_digest("r2", revision=9, age_s=0.1))
     clock.advance(2.0)
     assert peers.config_ages_s(revision=3) == [2.5]
     assert len(peers.config_ages_s(revision=9)) == 2
--- a/umberhitch/tasks/tests/test_serving.py
+++ b/umberhitch/tasks/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Serving requests on a virtual clock."""
+"""Requests served by routers and agents on a virtual clock."""
 
 import pytest
 from twisted.internet.defer import ensureDeferred
@@ -50,7 +50,7 @@
     assert world.runs_of("too late") == 0
 
 
-def test_the_same_key_at_two_routers_runs_once(world: World) -> None:
+def test_requests_with_one_key_at_two_routers_run_once(world: World) -> None:
     options = AskOptions(klass="renewal", key="k")
     first = world.ask("renew", "r1", options)
     second = world.ask("renew", "r2", options)
@@ -70,7 +70,7 @@
     assert other.outcome == NotRun(Reason.KEY_REUSED, "the key was used for another request")
 
 
-def test_an_engine_lost_midway_is_retried_only_if_repeatable(world: World) -> None:
+def test_a_request_whose_engine_is_lost_is_retried_only_if_repeatable(world: World) -> None:
     tried = world.ask("again", options=AskOptions(klass="lookup"))
     once = world.ask("once", options=AskOptions(klass="renewal"))
     world.advance(0.1)
@@ -83,22 +83,22 @@
     assert tried.outcome is not None
 
 
-def test_an_answer_is_fetched_again_at_another_router(world: World) -> None:
+def test_an_answer_is_fetched_at_another_router(world: World) -> None:
     record = world.ask("long answer", "r1")
     world.advance(0.15)
     world.lose_router("r1")
     locator = record.locators[-1]
-    where = parse_locator(locator)
-    assert where is not None
-    fetched = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(where, "acme", 0))
-    stolen = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(where, "other", 0))
+    parsed = parse_locator(locator)
+    assert parsed is not None
+    fetched = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(parsed, "acme", 0))
+    stolen = ensureDeferred(world.routers["r2"].answer_fetcher.fetch(parsed, "other", 0))
     world.advance(3.0)
     assert fetched.result.text == expected_answer("m@1", make_work("long answer"), 12)
     assert isinstance(stolen.result, NotRun)
 
 
-def test_a_refused_retry_of_what_may_have_run_is_not_called_not_run(world: World) -> None:
-    """Found by the state machine: the second choice was refused, and hid that the first ran."""
+def test_a_refused_retry_of_an_attempt_that_may_have_run_is_unknown(world: World) -> None:
+    """The refusal of a retry, here for lack of a version, must not hide that an attempt ran."""
     for engine in world.engines.values():
         engine.faults.fail_after_words = 3
     record = world.ask("runs, then finds no version", "r1")
@@ -109,10 +109,10 @@
     assert isinstance(record.outcome, Unknown)
 
 
-def test_an_engine_that_hangs_does_not_keep_its_slots(world: World) -> None:
+def test_slots_of_an_engine_that_hangs_are_freed(world: World) -> None:
     for engine in world.engines.values():
         engine.faults.is_stuck = True
-    world.network.drop_where(lambda one, other, message: type(message).__name__ == "Cancel")
+    world.network.drop_where(lambda sender, receiver, message: type(message).__name__ == "Cancel")
     for index in range(24):
         world.ask(f"stuck {index}", "r1", AskOptions(deadline_s=1.0))
     world.advance(20.0)
@@ -140,41 +140,41 @@
     assert world.routers["r1"].revision == world.agents["e1"].revision
 
 
-def test_burn_is_gathered_from_all_routers(world: World) -> None:
+def test_the_burn_report_covers_all_routers(world: World) -> None:
     for engine in world.engines.values():
         engine.faults.is_refusing = True
     for router in ("r1", "r2"):
         for index in range(3):
             world.ask(f"{router} {index}", router, AskOptions(klass="lookup"))
     world.advance(2.0)
-    gathered = ensureDeferred(world.routers["r1"].burn.report())
+    pending_report = ensureDeferred(world.routers["r1"].burn.report())
     world.advance(2.0)
-    report = gathered.result
+    report = pending_report.result
     assert (report.routers, report.missing) == (["r1", "r2"], [])
     assert [(row.customer, row.klass, row.bad) for row in report.rows] == [("acme", "lookup", 6)]
     world.network.cut("r1", "r2")
-    gathered = ensureDeferred(world.routers["r1"].burn.report())
+    pending_report = ensureDeferred(world.routers["r1"].burn.report())
     world.advance(2.0)
-    assert gathered.result.missing == ["r2"]
+    assert pending_report.result.missing == ["r2"]
 
 
-def test_a_full_queue_gives_way_to_what_is_more_urgent() -> None:
-    made = World(
+def test_a_full_queue_refuses_its_last_entry_for_a_more_urgent_one() -> None:
+    small_world = World(
         WorldSettings(endpoints={"e1": "m@1"}, routers=("r1",), agent={"slots": 1, "queue": 2})
     )
-    made.publish(make_change())
-    made.start()
-    drafts = [made.ask(f"draft {index}", "r1") for index in range(3)]
-    made.advance(0.05)
-    urgent = made.ask("lookup", "r1", AskOptions(klass="lookup"))
-    made.advance(3.0)
+    small_world.publish(make_change())
+    small_world.start()
+    drafts = [small_world.ask(f"draft {index}", "r1") for index in range(3)]
+    small_world.advance(0.05)
+    urgent = small_world.ask("lookup", "r1", AskOptions(klass="lookup"))
+    small_world.advance(3.0)
     assert isinstance(urgent.outcome, Done)
     refused = [record for record in drafts if isinstance(record.outcome, NotRun)]
     assert [record.outcome.reason for record in refused] == [Reason.OVERLOADED]
-    assert made.runs_of(refused[0].question) == 0
+    assert small_world.runs_of(refused[0].question) == 0
 
 
-def test_logs_hold_ids_and_never_a_question_an_answer_or_a_key(
+def test_logs_contain_ids_but_no_prompts_answers_or_keys(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("DEBUG")
@@ -189,7 +189,7 @@
         assert secret not in text
 
 
-def test_an_answer_too_long_for_the_log_is_found_at_its_agent(
+def test_an_answer_too_long_for_the_log_is_fetched_from_its_agent(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(keyed_module, "MAX_RECORDED_CHARS", 10)
@@ -210,11 +210,11 @@
     assert world.runs_of("renew") == 1
 
 
-def test_an_outcome_that_was_unknown_is_looked_up_again_for_a_later_caller(world: World) -> None:
+def test_an_unknown_outcome_is_resolved_for_a_later_request_with_the_same_key(world: World) -> None:
     for engine in world.engines.values():
         engine.faults.slowdown = 4.0
     options = AskOptions(klass="renewal", key="k", deadline_s=0.5)
-    world.network.drop_where(lambda one, other, message: type(message).__name__ == "Cancel")
+    world.network.drop_where(lambda sender, receiver, message: type(message).__name__ == "Cancel")
     first = world.ask("renew", "r1", options)
     world.advance(3.0)
     world.network.mend_all()
@@ -225,21 +225,21 @@
     assert world.runs_of("renew") == 1
 
 
-def test_a_key_lives_as_long_as_the_policy_says() -> None:
-    """Found by a search for unused names: the setting had no effect."""
-    made = World(WorldSettings(endpoints={"e1": "m@1"}, routers=("r1",)))
+def test_an_idempotency_key_expires_after_the_policy_ttl() -> None:
+    """Guards against the policy's ``idempotency_ttl_s`` having no effect."""
+    small_world = World(WorldSettings(endpoints={"e1": "m@1"}, routers=("r1",)))
     policy = {"name": "policy", "idempotency_ttl_s": 60.0}
-    made.publish(make_change(policies=[policy]))
-    made.start()
+    small_world.publish(make_change(policies=[policy]))
+    small_world.start()
     options = AskOptions(klass="renewal", key="k")
-    made.ask("renew", "r1", options)
-    made.advance(30.0)
-    made.ask("renew", "r1", options)
-    made.advance(2.0)
-    assert made.runs_of("renew") == 1
-    made.advance(60.0)
-    made.ask("another", "r1", AskOptions(klass="renewal", key="other"))
-    made.advance(2.0)
-    made.ask("renew", "r1", options)
-    made.advance(2.0)
-    assert made.runs_of("renew") == 2
+    small_world.ask("renew", "r1", options)
+    small_world.advance(30.0)
+    small_world.ask("renew", "r1", options)
+    small_world.advance(2.0)
+    assert small_world.runs_of("renew") == 1
+    small_world.advance(60.0)
+    small_world.ask("another", "r1", AskOptions(klass="renewal", key="other"))
+    small_world.advance(2.0)
+    small_world.ask("renew", "r1", options)
+    small_world.advance(2.0)
+    assert small_world.runs_of("renew") == 2
--- a/umberhitch/tasks/usage.py
+++ b/umberhitch/tasks/usage.py
@@ -1,4 +1,4 @@
-"""Usage records at an agent, held until they are known to be in the log."""
+"""Usage records that an agent keeps until a router confirms that they are in the log."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,45 +8,46 @@
 __all__ = ["UnconfirmedUsage"]
 
 MAX_OVERDUE_RECORDS = 500
+"""Overdue records that are sent to a router at a time."""
 
 
 @dataclass(slots=True)
-class _Held:
+class _UnconfirmedRecord:
     record: UsageRecord
-    since_s: float
+    added_s: float
 
 
 class UnconfirmedUsage:
-    """Owns the unconfirmed usage records of one agent."""
+    """Keeps the unconfirmed usage records of one agent."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
-        self._turn = 0
+        self._records: dict[str, _UnconfirmedRecord] = {}
+        self._next_turn = 0
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._records)
 
     def __contains__(self, request: str) -> bool:
-        return request in self._held
+        return request in self._records
 
     def add(self, record: UsageRecord, now_s: float) -> None:
         """Keep a record until it is confirmed."""
-        self._held[record.request] = _Held(record, now_s)
+        self._records[record.request] = _UnconfirmedRecord(record, now_s)
 
     def confirm(self, requests: Iterable[str]) -> None:
-        """Let go of records that are in the log."""
+        """Drop the records of requests that are confirmed to be in the log."""
         for request in requests:
-            self._held.pop(request, None)
+            self._records.pop(request, None)
 
-    def overdue(self, now_s: float, patience_s: float) -> list[UsageRecord]:
-        """Return records that have waited longer than their router should have needed."""
-        due = [held.record for held in self._held.values() if now_s - held.since_s >= patience_s]
+    def overdue(self, now_s: float, timeout_s: float) -> list[UsageRecord]:
+        """Return records that were not confirmed within ``timeout_s`` seconds."""
+        due = [each.record for each in self._records.values() if now_s - each.added_s >= timeout_s]
         return due[:MAX_OVERDUE_RECORDS]
 
     def next_router(self, routers: Iterable[str]) -> str | None:
-        """Return the router to offer overdue records to: another one at each turn."""
+        """Return the router to send overdue records to, in round-robin order."""
         names = sorted(routers)
         if not names:
             return None
-        self._turn += 1
-        return names[self._turn % len(names)]
+        self._next_turn += 1
+        return names[self._next_turn % len(names)]
--- a/umberhitch/tasks/usage_writer.py
+++ b/umberhitch/tasks/usage_writer.py
@@ -1,4 +1,4 @@
-"""Writes usage records into the billing stream and tells agents when they are there."""
+"""Appends usage records to the billing stream and confirms them to the agents."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -14,10 +14,11 @@
 
 BILLING_STREAM = "billing"
 MAX_REMEMBERED_REQUESTS = 50_000
+"""Requests whose records were written most recently; a repeated record is confirmed at once."""
 
 
 class UsageWriter:
-    """Owns the usage records of one router until they are in the log.
+    """Keeps the usage records of one router until they are in the log.
 
     Parameters
     ----------
@@ -39,59 +40,60 @@
         self.appender = Appender(port, BILLING_STREAM, clock, rng, limits)
         self._link = link
         self._written: OrderedDict[str, None] = OrderedDict()
-        self._waiting: dict[str, set[str]] = {}
+        self._unconfirmed: dict[str, set[str]] = {}
         self._idle_callbacks: list[Callable[[], None]] = []
 
     @property
     def pending(self) -> int:
-        """Records that are not known to be in the log."""
-        return len(self._waiting)
+        """Number of records that are not known to be in the log."""
+        return len(self._unconfirmed)
 
     @property
     def is_full(self) -> bool:
-        """Whether no further record would be taken; new work must be refused first."""
+        """Whether further records would be dropped; new requests must be refused before that."""
         return self.appender.is_full
 
     def is_pending(self, request: str) -> bool:
-        """Whether the record of a request waits here to be in the log."""
-        return request in self._waiting
+        """Whether the record of a request is queued and not yet known to be in the log."""
+        return request in self._unconfirmed
 
     def write(self, record: UsageRecord, agents: list[str]) -> None:
-        """Take a record; ``agents`` hear of it once it is in the log.
+        """Queue a record and send ``agents`` a confirmation once it is in the log.
 
-        A record that does not fit is left to the agents, which hold it too.
+        If the queue is full, the record is dropped. The agents keep it until it is confirmed and
+        resend it.
         """
         if record.request in self._written:
-            self._tell([record.request], agents)
+            self._confirm([record.request], agents)
             return
-        waiting = self._waiting.get(record.request)
-        if waiting is not None:
-            waiting.update(agents)
+        unconfirmed = self._unconfirmed.get(record.request)
+        if unconfirmed is not None:
+            unconfirmed.update(agents)
             return
         try:
             appended = self.appender.add(encode_usage(record))
         except AppenderFullError:
             return
-        self._waiting[record.request] = set(agents)
+        self._unconfirmed[record.request] = set(agents)
         appended.addCallback(lambda offset: self._on_written(record.request))
 
     def _on_written(self, request: str) -> None:
         self._written[request] = None
         while len(self._written) > MAX_REMEMBERED_REQUESTS:
             self._written.popitem(last=False)
-        self._tell([request], sorted(self._waiting.pop(request, ())))
-        if not self._waiting:
+        self._confirm([request], sorted(self._unconfirmed.pop(request, ())))
+        if not self._unconfirmed:
             callbacks, self._idle_callbacks = self._idle_callbacks, []
             for callback in callbacks:
                 callback()
 
-    def _tell(self, requests: list[str], agents: list[str]) -> None:
+    def _confirm(self, requests: list[str], agents: list[str]) -> None:
         for agent in agents:
             self._link.send(agent, UsageConfirmation(requests))
 
     def when_idle(self, callback: Callable[[], None]) -> None:
-        """Call back once no record waits."""
-        if not self._waiting:
+        """Call back once no record is queued."""
+        if not self._unconfirmed:
             callback()
         else:
             self._idle_callbacks.append(callback)
