--- a/umberhitch/gateway_node.py
+++ b/umberhitch/gateway_node.py
@@ -27,6 +27,7 @@
 )
 from umberhitch.ports.direct import Member
 from umberhitch.tasks.burn import BurnContext, BurnTask
+from umberhitch.tasks.direct.canary_controller import CanaryController
 from umberhitch.tasks.direct.gateway import Gateway
 from umberhitch.tasks.direct.gateway_limits import GatewaySettings
 from umberhitch.tasks.direct.peers import DirectPeers
@@ -34,7 +35,6 @@
 from umberhitch.tasks.direct.shared_view import share_stream
 from umberhitch.tasks.direct.startup_wait import accept_when_loaded
 from umberhitch.tasks.direct.stored_holds import StoredHolds
-from umberhitch.tasks.direct.trials import Trials
 
 __all__ = ["GatewayNode", "make_gateway_node"]
 
@@ -56,7 +56,7 @@
     """A running router of the direct path with its sockets."""
 
     gateway: Gateway
-    trials: Trials
+    trials: CanaryController
     peers: DirectPeers
     holds: StoredHolds
     link: ZmqLink
@@ -128,7 +128,7 @@
         exposure_slack=bounds.exposure_slack,
         session_s=bounds.session_s,
     )
-    trials = Trials(reactor, rng, Statuses(store), trial_limits)
+    trials = CanaryController(reactor, rng, Statuses(store), trial_limits)
     link = ZmqLink(settings.name, reactor, context, settings.listen.link)
     sharing = ReadSharing(settings.name, incarnation, reactor, rng, link.send)
     operator_view = share_stream(sharing, StreamName.OPERATOR, make_operator_feed(store))
--- a/umberhitch/platform/tests/test_large_documents.py
+++ b/umberhitch/platform/tests/test_large_documents.py
@@ -61,7 +61,7 @@
     world.publish(3, 2000)
     assert world.in_force_s(3) < MAX_PROPAGATION_S
     world.run(0.5)
-    assert world.routers["r1"].trials.is_any_open()
+    assert world.routers["r1"].trials.is_any_in_progress()
 
 
 def test_a_large_configuration_followed_by_an_order_is_read():
--- a/umberhitch/tasks/direct/admission.py
+++ b/umberhitch/tasks/direct/admission.py
@@ -5,9 +5,9 @@
 
 from umberhitch.core.direct import CallerRequest, Customer, Route, RouteKind, request_key
 from umberhitch.ports.clock import Clock
+from umberhitch.tasks.direct.canary_controller import CanaryController
 from umberhitch.tasks.direct.services import AdmittedRequest
 from umberhitch.tasks.direct.store_view import StoreView
-from umberhitch.tasks.direct.trials import Trials
 
 __all__ = ["MAX_LIGHT_TOKENS", "STALE_CONFIGURATION", "Admission", "Refusal"]
 
@@ -33,7 +33,7 @@
     Parameters
     ----------
     view : StoreView
-    trials : Trials
+    trials : CanaryController
     clock : Clock
     rng : Random
     proof_age_s : float
@@ -53,7 +53,7 @@
     def __init__(
         self,
         view: StoreView,
-        trials: Trials,
+        trials: CanaryController,
         clock: Clock,
         rng: Random,
         proof_age_s: float,
--- a/umberhitch/tasks/direct/trials.py
+++ b/umberhitch/tasks/direct/canary_controller.py
@@ -25,20 +25,20 @@
 from umberhitch.tasks.direct.stored_states import FINAL_STATES, StoredRolloutStates
 from umberhitch.wire import CanaryReport, CanaryUpdate, RouteCounts
 
-__all__ = ["Trials"]
+__all__ = ["CanaryController"]
 
 log = getLogger(__name__)
 
-TICK_S = 0.1
-MAX_RECENT = 20_000
-MAX_KEPT_BACK = 200
+UPDATE_INTERVAL_S = 0.1
+MAX_RECENT_SESSIONS = 20_000
+MAX_PINNED_SESSIONS = 200
 """Sessions in a report; they are 8 % of those of the last seconds at one router."""
-MAX_MOVED = 400
+MAX_MOVED_SESSIONS = 400
 """The same of those that moved while one endpoint was loaded, for the time of a session."""
 HASH_RANGE = 1 << 64
 
 
-class Trials:
+class CanaryController:
     """All roll-outs, as one router sees them.
 
     Parameters
@@ -62,17 +62,17 @@
         self._clock = clock
         self._rng = rng
         self._limits = limits or CanaryLimits()
-        self._trials: dict[str, Canary] = {}
-        self._within: dict[str, tuple[float, bool]] = {}
+        self._canaries: dict[str, Canary] = {}
+        self._exposure_checks: dict[str, tuple[float, bool]] = {}
         """By service: when the exposure bound was looked at, and whether it was kept."""
-        self._states = StoredRolloutStates(clock, status, self._note_final)
+        self._states = StoredRolloutStates(clock, status, self._apply_final_state)
         self._recent: dict[str, OrderedDict[str, tuple[float, float]]] = {}
         self._is_stopped = False
-        self.old_running: Callable[[str, str], int] = lambda service, version: 0
-        self.running: Callable[[str], int] = lambda lifetime: 0
-        self._on_news: Callable[[], None] = do_nothing
+        self.running_on_other_versions: Callable[[str, str], int] = lambda service, version: 0
+        self.running_calls: Callable[[str], int] = lambda lifetime: 0
+        self._on_update: Callable[[], None] = do_nothing
 
-    def follow(self, rank: Callable[[], int | None], on_news: Callable[[], None]) -> None:
+    def follow_peers(self, rank: Callable[[], int | None], on_update: Callable[[], None]) -> None:
         """Take what the other routers make known.
 
         Parameters
@@ -80,21 +80,21 @@
         rank : callable
             Returns this router's place among those that the store lists, 0 first; None before they
             are known.
-        on_news : callable
+        on_update : callable
             Called when there is something that the others are to be told at once.
         """
-        self._on_news = on_news
+        self._on_update = on_update
         self._states.rank = rank
-        self._states.on_unsent = on_news
+        self._states.on_unsent = on_update
 
     def start(self) -> None:
         """Begin to drive."""
         if self._is_stopped:
             return
         now_s = self._clock.seconds()
-        for service, trial in self._trials.items():
-            self._drive(service, trial, now_s)
-        self._clock.callLater(TICK_S, self.start)
+        for service, trial in self._canaries.items():
+            self._update(service, trial, now_s)
+        self._clock.callLater(UPDATE_INTERVAL_S, self.start)
 
     def stop(self) -> None:
         """Drive no more."""
@@ -103,9 +103,9 @@
 
     # Orders
 
-    def take_order(self, order: RolloutOrder) -> None:
+    def apply_order(self, order: RolloutOrder) -> None:
         """Take an operator's order; one that is known already changes nothing."""
-        known = self._trials.get(order.service)
+        known = self._canaries.get(order.service)
         if known is not None and known.order == order:
             return
         now_s = self._clock.seconds()
@@ -113,38 +113,38 @@
         for session, (at_s, draw) in self._recent.pop(order.service, {}).items():
             trial.note_old_session(session, at_s, draw)
         trial.unreported_pinned = trial.pinned_sessions(now_s)
-        self._trials[order.service] = trial
-        self._tell_news(trial)
-        self._within.pop(order.service, None)
+        self._canaries[order.service] = trial
+        self._notify_updates(trial)
+        self._exposure_checks.pop(order.service, None)
         log.info("roll-out begins", extra={"service": order.service, "target": order.target})
         self._states.follow(trial)
 
     def drop(self, service: str) -> None:
         """Forget an order that the operator has taken back."""
-        self._trials.pop(service, None)
+        self._canaries.pop(service, None)
         self._states.drop(service)
 
-    def keep(self, orders: list[RolloutOrder]) -> None:
+    def retain(self, orders: list[RolloutOrder]) -> None:
         """Forget the orders that are not among those that stand."""
         stands = {order.service for order in orders}
-        for service in [each for each in self._trials if each not in stands]:
+        for service in [each for each in self._canaries if each not in stands]:
             self.drop(service)
 
-    def is_any_open(self) -> bool:
+    def is_any_in_progress(self) -> bool:
         """Whether a roll-out is in progress, so that evidence has to be told soon."""
-        states = [trial.state for trial in self._trials.values()]
+        states = [trial.state for trial in self._canaries.values()]
         return RolloutState.IN_PROGRESS in states
 
-    def _drive(self, service: str, trial: Canary, now_s: float) -> None:
-        running = self.old_running(service, trial.order.target)
+    def _update(self, service: str, trial: Canary, now_s: float) -> None:
+        running = self.running_on_other_versions(service, trial.order.target)
         verdict = trial.next_state(now_s, running)
         if verdict is RolloutState.ROLLED_BACK and trial.state is not verdict:
             self._set_state(trial, verdict)
         self._states.ensure_written(trial, verdict)
 
-    def _note_final(self, trial: Canary, state: RolloutState) -> None:
+    def _apply_final_state(self, trial: Canary, state: RolloutState) -> None:
         """Take over a final state that stands in the store."""
-        if self._trials.get(trial.order.service) is trial:
+        if self._canaries.get(trial.order.service) is trial:
             self._set_state(trial, state)
 
     def _set_state(self, trial: Canary, state: RolloutState) -> None:
@@ -188,51 +188,51 @@
         is_light : bool
             Whether the request reads little, so that many of them fit on one endpoint.
         """
-        draw = self._rng.random() if session is None else _draw(session)
-        trial = self._trials.get(service)
+        draw = self._rng.random() if session is None else _hash_fraction(session)
+        trial = self._canaries.get(service)
         if trial is not None:
             has_target = self._states.is_earlier_decision_known(service) and any(
                 each.entry.version == trial.order.target for each in endpoints
             )
-            is_within = self._is_within_bound(trial, endpoints, now_s)
+            is_within = self._is_within_exposure(trial, endpoints, now_s)
             chosen = trial.routes_to_target(session, draw, now_s, has_target, is_light, is_within)
-            self._tell_news(trial)
+            self._notify_updates(trial)
             return chosen
         if session is not None:
             recent = self._recent.setdefault(service, OrderedDict())
             recent.pop(session, None)
             recent[session] = (now_s, draw)
-            while len(recent) > MAX_RECENT:
+            while len(recent) > MAX_RECENT_SESSIONS:
                 recent.popitem(last=False)
         return None
 
-    def ended(self, service: str, session: str | None) -> None:
+    def note_request_finished(self, service: str, session: str | None) -> None:
         """Take note that a request of a session has its answer."""
         if session is None:
             return
         now_s = self._clock.seconds()
-        trial = self._trials.get(service)
+        trial = self._canaries.get(service)
         if trial is not None:
             trial.note_request_finished(session, now_s)
         elif session in self._recent.get(service, ()):
-            self._recent[service][session] = (now_s, _draw(session))
+            self._recent[service][session] = (now_s, _hash_fraction(session))
 
-    def _tell_news(self, trial: Canary) -> None:
+    def _notify_updates(self, trial: Canary) -> None:
         if trial.unreported_moved or trial.unreported_pinned:
-            self._on_news()
+            self._on_update()
 
-    def _is_within_bound(self, trial: Canary, endpoints: list[Endpoint], now_s: float) -> bool:
-        at_s, is_within = self._within.get(trial.order.service, (float("-inf"), False))
-        if now_s - at_s < TICK_S:
+    def _is_within_exposure(self, trial: Canary, endpoints: list[Endpoint], now_s: float) -> bool:
+        at_s, is_within = self._exposure_checks.get(trial.order.service, (float("-inf"), False))
+        if now_s - at_s < UPDATE_INTERVAL_S:
             return is_within
         target = trial.order.target
-        new = sum(self.running(e.lifetime) for e in endpoints if e.entry.version == target)
-        both = sum(self.running(each.lifetime) for each in endpoints)
+        new = sum(self.running_calls(e.lifetime) for e in endpoints if e.entry.version == target)
+        both = sum(self.running_calls(each.lifetime) for each in endpoints)
         is_within = trial.is_within_exposure(now_s, new, both - new)
-        self._within[trial.order.service] = (now_s, is_within)
+        self._exposure_checks[trial.order.service] = (now_s, is_within)
         return is_within
 
-    def allowed(
+    def allowed_endpoints(
         self,
         service: str,
         wants_target: bool | None,
@@ -250,7 +250,7 @@
         is_light : bool
             Whether the call reads little, so that many of them fit on one endpoint.
         """
-        trial = self._trials.get(service)
+        trial = self._canaries.get(service)
         if trial is None:
             return endpoints
         target = trial.order.target
@@ -264,16 +264,18 @@
         if not wants_target:
             return old or new
         if is_light and new and trial.is_load_testing(self._clock.seconds()):
-            loaded = min(new, key=lambda each: _draw(each.lifetime))
+            loaded = min(new, key=lambda each: _hash_fraction(each.lifetime))
             limit = trial.limits.full_load * (loaded.entry.slots or 0)
-            if self.running(loaded.lifetime) < limit:
+            if self.running_calls(loaded.lifetime) < limit:
                 return [loaded]
             trial.is_load_tested = limit > 0
         return new or old
 
-    def note(self, service: str, route: str, endpoint: Endpoint, verdict: AnswerVerdict) -> None:
+    def record_answer(
+        self, service: str, route: str, endpoint: Endpoint, verdict: AnswerVerdict
+    ) -> None:
         """Count an answer."""
-        trial = self._trials.get(service)
+        trial = self._canaries.get(service)
         if trial is not None:
             is_target, now_s = self.is_target(service, endpoint), self._clock.seconds()
             is_paced = verdict in (AnswerVerdict.SLOW, AnswerVerdict.GOOD)
@@ -283,12 +285,12 @@
 
     def is_target(self, service: str, endpoint: Endpoint) -> bool:
         """Whether an endpoint is of the version that a roll-out brings in."""
-        trial = self._trials.get(service)
+        trial = self._canaries.get(service)
         return trial is not None and endpoint.entry.version == trial.order.target
 
-    def bears_load(self, service: str, endpoint: Endpoint) -> bool:
+    def has_shifted_traffic(self, service: str, endpoint: Endpoint) -> bool:
         """Whether an endpoint is of a new version that gets all new work since lately."""
-        trial = self._trials.get(service)
+        trial = self._canaries.get(service)
         if trial is None or not self.is_target(service, endpoint):
             return False
         now_s = self._clock.seconds()
@@ -306,25 +308,25 @@
                 now_s - trial.started_s,
                 trial.state,
                 [
-                    _counts(is_target, route, each)
+                    _route_counts(is_target, route, each)
                     for (is_target, route), each in trial.own_counts.items()
                 ],
-                trial.pinned_sessions(now_s)[:MAX_KEPT_BACK],
+                trial.pinned_sessions(now_s)[:MAX_PINNED_SESSIONS],
                 trial.is_load_tested,
-                trial.moved_sessions(now_s)[-MAX_MOVED:],
+                trial.moved_sessions(now_s)[-MAX_MOVED_SESSIONS:],
                 self._states.confirmed_state(service),
             )
-            for service, trial in self._trials.items()
+            for service, trial in self._canaries.items()
         ]
 
-    def take_news(self) -> list[CanaryUpdate]:
+    def pop_updates(self) -> list[CanaryUpdate]:
         """Return what others are to be told at once, and that was not."""
         found = []
         untold = self._states.pop_unsent()
-        for service, trial in self._trials.items():
+        for service, trial in self._canaries.items():
             if service not in untold and not trial.unreported_moved and not trial.unreported_pinned:
                 continue
-            kept = trial.unreported_pinned[-MAX_KEPT_BACK:]
+            kept = trial.unreported_pinned[-MAX_PINNED_SESSIONS:]
             written = self._states.confirmed_state(service)
             found.append(
                 CanaryUpdate(service, trial.order.target, trial.unreported_moved, kept, written)
@@ -332,22 +334,22 @@
             trial.unreported_moved, trial.unreported_pinned = [], []
         return found
 
-    def note_news(self, message: CanaryUpdate) -> None:
+    def apply_update(self, message: CanaryUpdate) -> None:
         """Take note of sessions that another router keeps on a version, and of what stands."""
-        trial = self._trials.get(message.service)
+        trial = self._canaries.get(message.service)
         if trial is None or trial.order.target != message.target:
             return
         now_s = self._clock.seconds()
         self._states.apply_peer_state(trial, message.stored_state)
         for session in message.moved_to_new:
-            trial.note_moved_session(session, now_s, _draw(session))
+            trial.note_moved_session(session, now_s, _hash_fraction(session))
         for session in message.kept_on_old:
-            trial.note_old_session(session, now_s, _draw(session))
+            trial.note_old_session(session, now_s, _hash_fraction(session))
 
-    def take(self, router: str, reports: list[CanaryReport]) -> None:
+    def apply_reports(self, router: str, reports: list[CanaryReport]) -> None:
         """Take what another incarnation of a router tells."""
         for report in reports:
-            trial = self._trials.get(report.service)
+            trial = self._canaries.get(report.service)
             if trial is None or trial.order.target != report.target:
                 continue
             trial.started_s = min(trial.started_s, self._clock.seconds() - report.elapsed_s)
@@ -365,21 +367,21 @@
             trial.set_router_counts(router, counts)
             trial.is_load_tested |= report.was_fully_loaded
             for session in report.kept_on_old:
-                trial.note_old_session(session, self._clock.seconds(), _draw(session))
+                trial.note_old_session(session, self._clock.seconds(), _hash_fraction(session))
             for session in report.moved_to_new:
-                trial.note_moved_session(session, self._clock.seconds(), _draw(session))
+                trial.note_moved_session(session, self._clock.seconds(), _hash_fraction(session))
             self._states.note_peer_follows(report.service)
             self._states.apply_peer_state(trial, report.stored_state)
             if report.state in FINAL_STATES and trial.state is RolloutState.IN_PROGRESS:
                 self._set_state(trial, RolloutState(report.state))
 
 
-def _draw(session: str) -> float:
+def _hash_fraction(session: str) -> float:
     """Return a session's number from 0 to 1, the same at every router."""
     return xxh3_64_intdigest(session.encode()) / HASH_RANGE
 
 
-def _counts(is_target: bool, route: str, counts: AnswerCounts) -> RouteCounts:
+def _route_counts(is_target: bool, route: str, counts: AnswerCounts) -> RouteCounts:
     return RouteCounts(
         is_target,
         route,
--- a/umberhitch/tasks/direct/crash_guard.py
+++ b/umberhitch/tasks/direct/crash_guard.py
@@ -18,7 +18,7 @@
 
 __all__ = ["CrashGuard"]
 
-ABSENT_RETRY_S = 1.0
+UNREACHABLE_RETRY_S = 1.0
 """Time to come back that is named where the endpoint of a probe is not there: others are found
 meanwhile, or those that ended are back after some seconds."""
 
@@ -51,11 +51,13 @@
         self.record = CrashRecord(limits)
         self.sharing = CrashSharing(name, clock, self.record)
         self.probing = Probing(name, clock, self.sharing)
-        self.watch = CrashWatch(clock, endpoints, self.record, self.sharing.crashed, on_verdict)
+        self.watch = CrashWatch(
+            clock, endpoints, self.record, self.sharing.record_crash, on_verdict
+        )
         self._clock = clock
         self._endpoints = endpoints
         self._on_unreachable = on_unreachable
-        self._under_way: dict[str, list[Run]] = {}
+        self._running: dict[str, list[Run]] = {}
         self.sharing.on_held = self._on_held
 
     # Requests
@@ -68,17 +70,17 @@
         """Whether a request is run by probes only."""
         return self.record.is_held(permit.request_key)
 
-    def retry_s(self, permit: AdmittedRequest) -> float:
+    def retry_after_s(self, permit: AdmittedRequest) -> float:
         """Return when a request that is held may come again."""
         hold = self.hold(permit)
         return 0.0 if hold is None else max(0.0, hold.until_s - self._clock.seconds())
 
-    def ask_probe(
+    def request_probe(
         self,
         permit: AdmittedRequest,
         endpoint: Endpoint,
         lease_s: float,
-        done: Callable[[float | None], None],
+        on_decision: Callable[[float | None], None],
     ) -> None:
         """Ask to run a request that is held; see `Probing.ask`.
 
@@ -87,17 +89,17 @@
         now_s = self._clock.seconds()
         hold = self.record.hold(permit.request_key, now_s, service_version_of(endpoint))
         if hold is not None and hold.until_s > now_s:
-            done(hold.until_s - now_s)
+            on_decision(hold.until_s - now_s)
             return
 
         def take(found: ListenerStatus) -> None:
             if found is ListenerStatus.YES:
                 self.probing.request_probe(
-                    permit.request_key, service_version_of(endpoint), lease_s, done
+                    permit.request_key, service_version_of(endpoint), lease_s, on_decision
                 )
             else:
                 self._on_unreachable(endpoint, found is ListenerStatus.NO)
-                done(ABSENT_RETRY_S)
+                on_decision(UNREACHABLE_RETRY_S)
 
         self._endpoints.check(endpoint.entry.address, take)
 
@@ -106,74 +108,74 @@
     def start_run(self, permit: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
         """Take note that a call is sent."""
         run = Run(permit, endpoint, self._clock.seconds(), is_probe)
-        self._under_way.setdefault(permit.request_key, []).append(run)
+        self._running.setdefault(permit.request_key, []).append(run)
         return run
 
-    def _over(self, run: Run) -> None:
-        runs = self._under_way[run.admitted.request_key]
+    def _remove_run(self, run: Run) -> None:
+        runs = self._running[run.admitted.request_key]
         runs.remove(run)
         if not runs:
-            del self._under_way[run.admitted.request_key]
+            del self._running[run.admitted.request_key]
 
-    def _is_under_way(self, run: Run) -> bool:
-        return any(each is run for each in self._under_way.get(run.admitted.request_key, ()))
+    def _is_running(self, run: Run) -> bool:
+        return any(each is run for each in self._running.get(run.admitted.request_key, ()))
 
     def record_head(self, run: Run) -> None:
         """Take note that a call has the head of its reply."""
         run.head_s = self._clock.seconds()
-        self.watch.answered(run)
+        self.watch.record_head(run)
         if self.record.is_held(run.admitted.request_key):
-            self._free_if_outlived(run)
+            self._release_if_survived(run)
 
     def _on_held(self, key: str) -> None:
-        for run in self._under_way.get(key, ()):
+        for run in self._running.get(key, ()):
             if run.head_s is not None:
-                self._free_if_outlived(run)
+                self._release_if_survived(run)
 
-    def _free_if_outlived(self, run: Run) -> None:
+    def _release_if_survived(self, run: Run) -> None:
         """Free a request once a run of it has gone on for long enough."""
         assert run.head_s is not None
         key = run.admitted.request_key
         left_s = run.head_s + self.record.survival_s(key) - self._clock.seconds()
 
         def look() -> None:
-            if self._is_under_way(run) and self.record.is_held(key):
-                self.sharing.ended(key, self._clock.seconds())
+            if self._is_running(run) and self.record.is_held(key):
+                self.sharing.record_run_end(key, self._clock.seconds())
 
         self._clock.callLater(max(0.0, left_s), look)
 
     def record_completed(self, run: Run) -> None:
         """Take note that a call has its whole reply: its endpoint lives after it."""
-        self._over(run)
+        self._remove_run(run)
         key, now_s = run.admitted.request_key, self._clock.seconds()
         if self.record.is_suspect(key):
-            self.watch.ended_well(run, lambda: self.sharing.ended(key, now_s))
+            self.watch.watch_completed(run, lambda: self.sharing.record_run_end(key, now_s))
         else:
-            self.sharing.ended(key, now_s)
+            self.sharing.record_run_end(key, now_s)
 
     def record_not_run(self, run: Run) -> None:
         """Take note that the endpoint has not run it."""
-        self._over(run)
-        self._show_nothing(run)
+        self._remove_run(run)
+        self._record_no_result(run)
 
     def record_cancelled(self, run: Run) -> None:
         """Take note that the call was given up here."""
-        self._over(run)
-        self.watch.left(run)
-        self._show_nothing(run)
+        self._remove_run(run)
+        self.watch.record_cancelled(run)
+        self._record_no_result(run)
 
     def record_broken(self, run: Run) -> None:
         """Take note that the call broke, or was silent for too long."""
-        self._over(run)
-        self.watch.broke(run)
+        self._remove_run(run)
+        self.watch.record_broken(run)
 
     def record_not_sent(self, run: Run) -> None:
         """Take note that there was no connection for it."""
-        self._over(run)
+        self._remove_run(run)
 
-    def _show_nothing(self, run: Run) -> None:
+    def _record_no_result(self, run: Run) -> None:
         if run.is_probe:
-            self.sharing.probe_over(run.admitted.request_key)
+            self.sharing.record_probe_end(run.admitted.request_key)
 
     # Peers
 
--- a/umberhitch/tasks/direct/endpoint_selector.py
+++ b/umberhitch/tasks/direct/endpoint_selector.py
@@ -17,11 +17,11 @@
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.tasks.direct.admission import MAX_LIGHT_TOKENS
+from umberhitch.tasks.direct.canary_controller import CanaryController
 from umberhitch.tasks.direct.retry_after import HONORED_SHARE, MIN_RETRY_AFTER_S
 from umberhitch.tasks.direct.send_gate import SendGate, Urgency
 from umberhitch.tasks.direct.services import AdmittedRequest
 from umberhitch.tasks.direct.store_view import StoreView
-from umberhitch.tasks.direct.trials import Trials
 
 __all__ = ["EndpointSelector"]
 
@@ -39,7 +39,7 @@
     Parameters
     ----------
     view : StoreView
-    trials : Trials
+    trials : CanaryController
     placement : Placement
     budget : RetryBudget
     cascade : Cascade
@@ -53,7 +53,7 @@
     def __init__(
         self,
         view: StoreView,
-        trials: Trials,
+        trials: CanaryController,
         placement: Placement,
         budget: RetryBudget,
         cascade: Cascade,
@@ -183,7 +183,7 @@
         is_closed = not ready and bool(self._view.directory.ready(admitted.service, now_s))
         self.failure_reason = NO_QUOTA if is_quota_used_up or is_closed else NO_ENDPOINT
         is_light = admitted.request.prompt_tokens < MAX_LIGHT_TOKENS
-        eligible = self._trials.allowed(
+        eligible = self._trials.allowed_endpoints(
             admitted.service, admitted.wants_target, within_quota, is_light
         )
         if not eligible:
--- a/umberhitch/tasks/direct/gateway.py
+++ b/umberhitch/tasks/direct/gateway.py
@@ -35,6 +35,7 @@
 )
 from umberhitch.tasks.burn import BurnTask
 from umberhitch.tasks.direct.admission import Admission
+from umberhitch.tasks.direct.canary_controller import CanaryController
 from umberhitch.tasks.direct.crash_guard import CrashGuard
 from umberhitch.tasks.direct.decision_log import DecisionLog
 from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
@@ -47,7 +48,6 @@
 from umberhitch.tasks.direct.send_gate import SendGate
 from umberhitch.tasks.direct.services import AdmittedRequest, RequestState
 from umberhitch.tasks.direct.store_view import StoreView
-from umberhitch.tasks.direct.trials import Trials
 
 __all__ = ["Gateway"]
 
@@ -68,7 +68,7 @@
     wire : WirePort
     endpoints : EndpointPort
     operator_port, registry_port : FeedPort
-    canary_controller : Trials
+    canary_controller : CanaryController
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         endpoints: EndpointPort,
         operator_port: FeedPort[OperatorValue],
         registry_port: FeedPort[EndpointEntry],
-        canary_controller: Trials,
+        canary_controller: CanaryController,
     ) -> None:
         self.settings = settings
         self.clock = clock
@@ -107,7 +107,7 @@
             lambda run, verdict: self.record_verdict(run.admitted, run.endpoint, verdict),
             self.mark_unreachable,
         )
-        canary_controller.running = self.placement.all_running_calls
+        canary_controller.running_calls = self.placement.all_running_calls
         self.view = StoreView(
             clock,
             rng,
@@ -117,7 +117,7 @@
             settings.endpoint_polling,
             canary_controller,
             self._on_endpoints,
-            self.crash_guard.watch.ended,
+            self.crash_guard.watch.record_exit,
             Directory(self.gate.closed.draining, settings.name),
         )
         self.gate.on_draining = self.directory.mark_draining
@@ -290,7 +290,7 @@
         latency_key = admitted.route.name if model is None else model
         if model is not None:
             latency_key += f" {self.placement.largest_prefill_rank(endpoint.lifetime, since_s)}"
-        is_loaded = self.canary_controller.bears_load(admitted.service, endpoint)
+        is_loaded = self.canary_controller.has_shifted_traffic(admitted.service, endpoint)
         is_slow = self._latencies.is_slow(admitted.service, latency_key, latency_s, is_loaded)
         if not self.canary_controller.is_target(admitted.service, endpoint):
             self._latencies.learn(admitted.service, latency_key, latency_s)
@@ -306,18 +306,20 @@
         self, admitted: AdmittedRequest, endpoint: Endpoint, verdict: AnswerVerdict
     ) -> None:
         """Record the verdict on an answer of an endpoint."""
-        self.canary_controller.note(admitted.service, admitted.route.name, endpoint, verdict)
+        self.canary_controller.record_answer(
+            admitted.service, admitted.route.name, endpoint, verdict
+        )
 
     def mark_unreachable(self, endpoint: Endpoint, has_exited: bool = False) -> None:
         """Record that an endpoint could not be reached or stopped answering."""
         endpoint.note_failure(self.clock.seconds(), has_exited)
         if has_exited:
-            self.crash_guard.watch.ended(endpoint)
+            self.crash_guard.watch.record_exit(endpoint)
 
     def mark_address_reused(self, endpoint: Endpoint) -> None:
         """Record that another incarnation now uses the endpoint's address."""
         log.info("address reused", extra={"endpoint": endpoint.lifetime})
-        self.crash_guard.watch.ended(endpoint)
+        self.crash_guard.watch.record_exit(endpoint)
         if self.directory.of_lifetime(endpoint.lifetime) is not None:
             self.directory.drop(endpoint.entry.incarnation)
 
@@ -350,7 +352,7 @@
         """Refuse a request with a reply made by the router itself."""
         retry_s = None
         if status == 503 and reason == HELD:
-            retry_s = max(MIN_RETRY_AFTER_S, self.crash_guard.retry_s(admitted))
+            retry_s = max(MIN_RETRY_AFTER_S, self.crash_guard.retry_after_s(admitted))
         elif status == 503:
             retry_s = self.selector.retry_after_s(admitted)
         self.local_replies.send(reply, admitted.request.call_id, status, reason, retry_s)
@@ -358,7 +360,9 @@
     def request_finished(self, proxied: RequestState, outcome: str) -> None:
         """Record the final outcome of a request."""
         self.running_requests.discard(proxied)
-        self.canary_controller.ended(proxied.admitted.service, proxied.admitted.request.session)
+        self.canary_controller.note_request_finished(
+            proxied.admitted.service, proxied.admitted.request.session
+        )
         self.counters.outcomes[outcome] = self.counters.outcomes.get(outcome, 0) + 1
         elapsed_s = round(self.clock.seconds() - proxied.admitted.received_s, 4)
         is_failure = outcome != "done"
--- a/umberhitch/tasks/direct/intake.py
+++ b/umberhitch/tasks/direct/intake.py
@@ -124,7 +124,7 @@
             nonlocal on_caller_left
             if has_disconnected:
                 if retry_after_s is None:
-                    self.crash_guard.sharing.probe_over(admitted.request_key)
+                    self.crash_guard.sharing.record_probe_end(admitted.request_key)
             elif retry_after_s is None:
                 on_caller_left = self.start_request(admitted, reply, True)
             else:
@@ -144,7 +144,7 @@
             proceed(STARTING_RETRY_AFTER_S)
         else:
             lease_s = min(req.patience_s, admitted.route.timeout_s)
-            self.crash_guard.ask_probe(admitted, candidate.endpoint, lease_s, proceed)
+            self.crash_guard.request_probe(admitted, candidate.endpoint, lease_s, proceed)
         return on_disconnect
 
     def _retry_after_s(self, req: CallerRequest) -> float:
--- a/umberhitch/tasks/direct/peers.py
+++ b/umberhitch/tasks/direct/peers.py
@@ -131,14 +131,14 @@
         """Whether the list of peers in the store is known."""
         self._is_stopped = False
         self._is_update_due = False
-        gateway.canary_controller.follow(self.rank, self._schedule_updates)
+        gateway.canary_controller.follow_peers(self.rank, self._schedule_updates)
         gateway.gate.follow_membership(self._membership.is_known_to_peers)
         gateway.gate.sharing.on_update = self._schedule_updates
-        gateway.canary_controller.old_running = self.running_on_other_versions
+        gateway.canary_controller.running_on_other_versions = self.running_on_other_versions
         gateway.presence.peer_available_in_s = self.peer_available_in_s
         gateway.crash_guard.sharing.peers = self.peer_names
         gateway.crash_guard.sharing.send = link.send
-        gateway.crash_guard.sharing.on_news = self._schedule_updates
+        gateway.crash_guard.sharing.on_update = self._schedule_updates
         sharing.peers = self.peer_names
         sharing.link_mbps = self.link_mbps
 
@@ -179,7 +179,7 @@
         """
         messages: list[Message] = [
             self._make_report(),
-            *self._gateway.crash_guard.sharing.all_news(),
+            *self._gateway.crash_guard.sharing.all_updates(),
         ]
         messages += self._gateway.gate.sharing.all_updates()
         for name in names:
@@ -210,7 +210,7 @@
         report = self._make_report()
         self._rounds += 1
         is_for_all = (
-            self._gateway.canary_controller.is_any_open()
+            self._gateway.canary_controller.is_any_in_progress()
             or self._rounds % self._remote_report_every() == 0
         )
         for name in self._peers:
@@ -223,7 +223,7 @@
         if self._is_stopped:
             return
         self._gateway.gate.refresh_shares()
-        updates: list[Message] = [*self._gateway.crash_guard.sharing.news_again()]
+        updates: list[Message] = [*self._gateway.crash_guard.sharing.updates_to_resend()]
         updates += self._gateway.gate.sharing.updates_to_resend()
         for name in self._rng.sample(list(self._peers), min(RESEND_PEERS, len(self._peers))):
             for message in updates:
@@ -243,8 +243,8 @@
     def _send_updates(self) -> None:
         """Send all pending updates on roll-outs, crashes and limits to all peers."""
         self._is_update_due = False
-        messages: list[Message] = [*self._gateway.canary_controller.take_news()]
-        messages += self._gateway.crash_guard.sharing.take_news()
+        messages: list[Message] = [*self._gateway.canary_controller.pop_updates()]
+        messages += self._gateway.crash_guard.sharing.pop_updates()
         messages += self._gateway.gate.sharing.pop_updates()
         for message in messages:
             for name in self._peers:
@@ -362,7 +362,7 @@
                 case BurnReply() if self._gateway.burn is not None:
                     self._gateway.burn.handle_reply(sender, message)
                 case CanaryUpdate():
-                    self._gateway.canary_controller.note_news(message)
+                    self._gateway.canary_controller.apply_update(message)
                 case CrashUpdate() | ProbeRequest() | ProbeReply():
                     self._gateway.crash_guard.receive(sender, message)
                 case EndpointUpdate():
@@ -380,7 +380,7 @@
         self._received[report.router] = _ReceivedReport(report, self._clock.seconds())
         self._link_mbps[report.router] = report.link_mbps
         self._last_reports.pop(report.router, None)
-        self._gateway.canary_controller.take(
+        self._gateway.canary_controller.apply_reports(
             f"{report.router}.{report.incarnation}", report.canaries
         )
 
--- a/umberhitch/tasks/direct/probing.py
+++ b/umberhitch/tasks/direct/probing.py
@@ -73,7 +73,7 @@
         request_id = self._last_request_id
         timer = self._clock.callLater(REPLY_TIMEOUT_S, self._finish, request_id, NO_REPLY_RETRY_S)
         self._pending[request_id] = _PendingProbe(on_decision, timer)
-        for update in self._sharing.news_of(key):
+        for update in self._sharing.updates_for(key):
             self._sharing.send(arbiter, update)  # the arbiter may not have received it
         self._sharing.send(arbiter, ProbeRequest(request_id, key, service_version, lease_s))
 
@@ -84,7 +84,7 @@
             return None
         if hold.until_s > now_s:
             return hold.until_s - now_s
-        self._sharing.probed(key, service_version, hold.probes + 1, lease_s)
+        self._sharing.record_probe(key, service_version, hold.probes + 1, lease_s)
         return None
 
     def handle_request(self, sender: str, message: ProbeRequest) -> None:
--- a/umberhitch/tasks/direct/store_view.py
+++ b/umberhitch/tasks/direct/store_view.py
@@ -15,8 +15,8 @@
 )
 from umberhitch.ports.clock import Clock
 from umberhitch.ports.direct import FeedBatch, FeedPort, OperatorValue
+from umberhitch.tasks.direct.canary_controller import CanaryController
 from umberhitch.tasks.direct.feeds import Feed, FeedTiming
-from umberhitch.tasks.direct.trials import Trials
 
 __all__ = ["StoreView"]
 
@@ -56,7 +56,7 @@
         registry_port: FeedPort[EndpointEntry],
         operator_timing: FeedTiming,
         endpoint_timing: FeedTiming,
-        canary_controller: Trials,
+        canary_controller: CanaryController,
         on_endpoints_changed: Callable[[list[str]], None],
         on_restarted: Callable[[Endpoint], None],
         directory: Directory,
@@ -145,7 +145,7 @@
         present = {each.key for each in batch.records if each.value is not None}
         for key in self._zones_out.keys() - present:
             self._restore_zone(key)
-        self.canary_controller.keep(
+        self.canary_controller.retain(
             [r.value for r in batch.records if isinstance(r.value, RolloutOrder)]
         )
 
@@ -155,7 +155,7 @@
                 case Document():
                     self._apply_document(record.value)
                 case RolloutOrder():
-                    self.canary_controller.take_order(record.value)
+                    self.canary_controller.apply_order(record.value)
                 case ZoneOut():
                     self._remove_zone(record.key, record.value.zone)
                 case None if record.key.startswith("rollout/"):
--- a/umberhitch/tasks/direct/stored_holds.py
+++ b/umberhitch/tasks/direct/stored_holds.py
@@ -90,9 +90,11 @@
     def _restore(self, hold: StoredHold) -> None:
         now_s = self._clock.seconds()
         for lifetime in hold.lifetimes:
-            self._sharing.crashed(hold.key, Crash(lifetime, hold.service_version, now_s, now_s))
+            self._sharing.record_crash(
+                hold.key, Crash(lifetime, hold.service_version, now_s, now_s)
+            )
         if hold.probes:
-            self._sharing.probed(hold.key, hold.service_version, hold.probes, 0.0)
+            self._sharing.record_probe(hold.key, hold.service_version, hold.probes, 0.0)
 
     def write(self, key: str) -> None:
         """Write the current state of a request to the store."""
--- a/umberhitch/tasks/direct/tests/test_named_limits.py
+++ b/umberhitch/tasks/direct/tests/test_advertised_limits.py
@@ -26,7 +26,7 @@
 )
 from umberhitch.wire import EndpointUpdate
 
-TOLD_S = 0.5
+LIMIT_KNOWN_S = 0.5
 """So long after a router has passed on an answer that names a limit, what it sends counts."""
 SETTLED_S = 6.0
 """All routers have their seats, and have heard of each other."""
@@ -57,7 +57,9 @@
     return world, limits
 
 
-def _crowd(world: DirectWorld, seconds: float, a_second: float, path: str = "/look/x") -> list:
+def _send_traffic(
+    world: DirectWorld, seconds: float, a_second: float, path: str = "/look/x"
+) -> list:
     """Let callers come to routers by chance; return their requests."""
     asks, due = [], 0.0
     for _ in range(round(seconds / STEP_S)):
@@ -74,33 +76,33 @@
 
 
 @pytest.mark.parametrize("rate", [1.6, 2.5])
-def test_engines_that_name_a_limit_get_no_more_from_four_routers_together(rate: float):
+def test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers_together(rate: float):
     world, limited = _world(4, 4, 2, rate)
-    told_s = world.clock.seconds() + 0.2 + TOLD_S
-    asks = _crowd(world, 16.0, 40.0)
+    told_s = world.clock.seconds() + 0.2 + LIMIT_KNOWN_S
+    asks = _send_traffic(world, 16.0, 40.0)
     for each in limited:
         _assert_kept(world, each, rate, told_s)
     assert [ask.status for ask in asks[:-20]].count(200) == len(asks) - 20
 
 
-def _home_of_one_part(world: DirectWorld) -> None:
+def _affinity_of_one_part(world: DirectWorld) -> None:
     """All come to the endpoint that has read what they share."""
     zones._set_replies(world, zones.STREAM)
-    zones._ask_many(world, "/draft/x", 120, Prompt="part:3000,own:10")
+    zones._send_many(world, "/draft/x", 120, Prompt="part:3000,own:10")
 
 
-KINDS = (*zones.KINDS, _home_of_one_part)
+KINDS = (*zones.KINDS, _affinity_of_one_part)
 
 
 @pytest.mark.parametrize("send", KINDS, ids=lambda send: send.__name__.strip("_"))
-def test_no_kind_of_send_goes_past_a_named_limit(send: Callable[[DirectWorld], None]):
+def test_no_kind_of_send_exceeds_an_advertised_limit(send: Callable[[DirectWorld], None]):
     rate = 0.5
     world = zones._world(2)
     limited = list(world.endpoints.by_address.values())
     world.run(SETTLED_S)
     for each in limited:
         each.limit_rate = rate
-    _crowd(world, 1.0, 40.0)
+    _send_traffic(world, 1.0, 40.0)
     told_s = world.clock.seconds()
     for _ in range(3):
         send(world)
@@ -170,7 +172,7 @@
     assert _known(world) == {}
 
 
-def test_an_odd_word_neither_opens_nor_closes_an_endpoint():
+def test_a_malformed_limit_changes_nothing():
     odd = Reply(is_limit_unclear=True)
     world, endpoint = _one_router(odd, None)
     asks = [world.ask(world.routers["r000"], "/look/x") for _ in range(20)]
@@ -193,7 +195,7 @@
     world.ask(world.routers["r000"], "/look/x")
     world.run(0.1)
     began_s = world.clock.seconds()
-    _crowd(world, 25.0, 20.0)
+    _send_traffic(world, 25.0, 20.0)
     calls = sum(at_s > began_s for at_s in endpoint.called_s)
     assert (2 <= calls <= 4) if rate == 0.0 else calls >= 490
 
@@ -214,25 +216,25 @@
     assert _known(world) == {}
 
 
-def test_it_ends_when_it_is_no_longer_named():
+def test_the_limit_ends_when_no_longer_advertised():
     world, limited = _world(6, 1, 1, 2.0)
-    _crowd(world, 3.0, 40.0)
+    _send_traffic(world, 3.0, 40.0)
     assert all(_known(world, name) == {"l0": 2.0} for name in world.routers)
     limited[0].limit_rate = None
-    _crowd(world, 3.0, 40.0)
+    _send_traffic(world, 3.0, 40.0)
     assert all(_known(world, name) == {} for name in world.routers)
 
 
-def test_a_new_lifetime_starts_without_one():
+def test_a_new_lifetime_starts_without_a_limit():
     world, _ = _world(2, 1, 1, 2.0)
-    _crowd(world, 2.0, 40.0)
+    _send_traffic(world, 2.0, 40.0)
     assert _known(world) == {"l0": 2.0}
     world.add_endpoint("l0", born=5)
     world.run(1.5)
     assert _known(world) == {}
 
 
-def test_peers_know_it_at_once_and_who_lost_the_word_within_seconds():
+def test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds():
     world, _ = _world(20, 0, 1, 2.0)
     world.network.drop_where(
         lambda sender, receiver, message: isinstance(message, EndpointUpdate) and receiver == "r007"
@@ -261,9 +263,9 @@
     assert len(told) <= (seconds + 1) * routers * (at_once + again)
 
 
-def test_a_router_that_starts_is_told():
+def test_a_router_that_starts_learns_the_limit():
     world, _ = _world(4, 1, 1, 2.0)
-    _crowd(world, 1.0, 40.0)
+    _send_traffic(world, 1.0, 40.0)
     world.add_router("new")
     world.run(MembershipLimits().propagation_s + 0.1)
     assert _known(world, "new") == {"l0": 2.0}
@@ -274,37 +276,37 @@
 
 def _play(world: DirectWorld, limited: list[FakeEndpoint], rate: float, seconds: float) -> None:
     """Let the limits be heard, then let a crowd come, and check the bound."""
-    _crowd(world, 0.6, 100.0)
+    _send_traffic(world, 0.6, 100.0)
     told_s = world.clock.seconds()
-    _crowd(world, seconds, 100.0)
+    _send_traffic(world, seconds, 100.0)
     for each in limited:
         _assert_kept(world, each, rate, told_s)
 
 
 @pytest.mark.parametrize("rate", [0.4, 2.3, 8.0])
 @pytest.mark.parametrize("routers", [1, 6, 30])
-def test_it_is_kept_and_used_by_any_number_of_routers(routers: int, rate: float):
+def test_the_limit_is_kept_and_used_by_any_number_of_routers(routers: int, rate: float):
     world, limited = _world(routers, 2, 1, rate)
     for each in world.endpoints.by_address.values():
         each.reply = Reply(delay_s=0.5)
-    _crowd(world, 3.0, 100.0)
+    _send_traffic(world, 3.0, 100.0)
     told_s = world.clock.seconds()
-    _crowd(world, 16.0, 100.0)
+    _send_traffic(world, 16.0, 100.0)
     _assert_kept(world, limited[0], rate, told_s)
     used = sum(at_s >= told_s for at_s in limited[0].called_s)
     assert used >= 0.8 * rate * 16.0 - 1
 
 
-def test_routers_that_do_not_see_each_other_keep_it_together():
+def test_routers_cut_off_from_each_other_keep_the_limit_together():
     world, limited = _world(20, 1, 2, 1.6)
     names = list(world.routers)
     for number, one in enumerate(names):
         for other in names[:number]:
             world.network.cut(one, other)
     since_s = world.clock.seconds()
-    _crowd(world, 12.6, 100.0)
+    _send_traffic(world, 12.6, 100.0)
     for each in limited:
-        assert most_from_told(each, since_s, TOLD_S) <= limit_bound(1.6)
+        assert most_from_told(each, since_s, LIMIT_KNOWN_S) <= limit_bound(1.6)
         assert len(each.limit_words) > 20  # others first hear of it by a call of their own
 
 
@@ -320,22 +322,22 @@
     _play(world, limited, 2.3, 16.0)
 
 
-def test_without_the_store_half_of_it_is_still_used():
+def test_without_the_store_half_of_the_limit_is_still_used():
     """Seats lapse 9 s after the last word of the store; the list that was known is kept."""
     world, limited = _world(6, 1, 1, 8.0, is_strict=False)
     for each in world.endpoints.by_address.values():
         each.reply = Reply(delay_s=0.5)
-    _crowd(world, 1.0, 100.0)
+    _send_traffic(world, 1.0, 100.0)
     for router in world.routers.values():
         router.faults.is_down = True
     world.run(12.0)
     since_s = world.clock.seconds()
-    _crowd(world, 8.0, 100.0)
+    _send_traffic(world, 8.0, 100.0)
     _assert_kept(world, limited[0], 8.0, since_s)
     assert sum(at_s >= since_s for at_s in limited[0].called_s) >= 0.5 * 8.0 * 8.0
 
 
-def test_what_is_under_way_as_it_is_heard_counts():
+def test_calls_that_run_when_the_limit_is_received_count():
     """A burst was sent before: nothing more comes on top of it than the rate allows."""
     world, limited = _world(1, 0, 1, 3.0)
     router = world.routers["r000"]
@@ -344,18 +346,18 @@
     world.run(0.21)
     assert _known(world) == {"l0": 3.0}
     heard_s = world.clock.seconds()
-    _crowd(world, 1.0, 50.0)
+    _send_traffic(world, 1.0, 50.0)
     assert sum(at_s >= heard_s for at_s in limited[0].called_s) <= 3.0 * 1.0
 
 
 def test_routers_that_start_and_stop_keep_it():
     world, limited = _world(12, 1, 2, 2.0)
-    _crowd(world, 0.6, 100.0)
+    _send_traffic(world, 0.6, 100.0)
     told_s = world.clock.seconds()
     for number in range(10):
         world.kill_router(f"r{number:03d}")
         world.add_router(f"n{number:03d}", zone="c")
-        _crowd(world, 1.5, 100.0)
+        _send_traffic(world, 1.5, 100.0)
     for each in limited:
         _assert_kept(world, each, 2.0, told_s)
 
@@ -363,22 +365,22 @@
 def test_after_the_loss_of_all_routers_it_is_kept():
     """All hear it anew, each from its own first answers, and none has its seat for long."""
     world, limited = _world(20, 2, 2, 2.0)
-    _crowd(world, 2.0, 100.0)
+    _send_traffic(world, 2.0, 100.0)
     for name in list(world.routers):
         world.kill_router(name)
     world.run(1.0)
     for number in range(20):
         world.add_router(f"r{number:03d}", zone="c")
-    _crowd(world, 1.0, 100.0)
+    _send_traffic(world, 1.0, 100.0)
     told_s = world.clock.seconds()
-    _crowd(world, 9.0, 100.0)
+    _send_traffic(world, 9.0, 100.0)
     for each in limited:
         _assert_kept(world, each, 2.0, told_s)
 
 
-def test_a_router_that_stood_still_sends_nothing_until_its_place_is_sure():
+def test_a_router_that_was_frozen_sends_nothing_until_its_rank_is_known():
     world, limited = _world(1, 1, 1, 4.0, is_strict=False)
-    _crowd(world, 2.0, 40.0)
+    _send_traffic(world, 2.0, 40.0)
     router = world.routers["r000"]
     router.clock.is_paused = True
     world.run(12.0)
@@ -395,23 +397,23 @@
 def test_a_rate_that_changes_each_second_is_kept_by_its_highest(rates: tuple):
     """What is sent at a high rate is counted when it falls, so no span gets more than it allows."""
     world, limited = _world(8, 2, 1, rates[0])
-    _crowd(world, 0.6, 100.0)
+    _send_traffic(world, 0.6, 100.0)
     told_s = world.clock.seconds()
     highest = max(rate for rate in rates if rate is not None)
     for second in range(16):
         limited[0].limit_rate = rates[second % len(rates)]
-        _crowd(world, 1.0, 60.0)
+        _send_traffic(world, 1.0, 60.0)
     if None not in rates:
         _assert_kept(world, limited[0], highest, told_s)
 
 
 def test_a_rate_that_has_fallen_is_kept_after_the_contact_time():
     world, limited = _world(8, 2, 1, 10.0)
-    _crowd(world, 5.0, 100.0)
+    _send_traffic(world, 5.0, 100.0)
     limited[0].limit_rate = 1.0
-    _crowd(world, 3.0, 100.0)
+    _send_traffic(world, 3.0, 100.0)
     fallen_s = world.clock.seconds()
-    _crowd(world, 10.0, 100.0)
+    _send_traffic(world, 10.0, 100.0)
     _assert_kept(world, limited[0], 1.0, fallen_s)
 
 
@@ -426,9 +428,9 @@
 # What callers see
 
 
-def test_what_nobody_can_take_is_refused_at_once_and_told_when_there_is_room():
+def test_requests_over_all_limits_are_refused_at_once_with_a_retry_time():
     world, _ = _world(1, 0, 1, 2.0)
-    _crowd(world, 4.0, 20.0)
+    _send_traffic(world, 4.0, 20.0)
     router = world.routers["r000"]
     asks = [world.ask(router, "/order/x", Patience="30") for _ in range(6)]
     refused = [ask for ask in asks if ask.status == 503]
@@ -441,7 +443,7 @@
 def test_who_is_refused_for_another_reason_is_not_told_to_come_late():
     """One endpoint names a limit; the other fails, and is back soon."""
     world, _ = _world(1, 1, 1, 0.2)
-    _crowd(world, 2.0, 20.0)
+    _send_traffic(world, 2.0, 20.0)
     world.endpoints.by_address["@f0"].reply = Reply(failure=CallFailure.NOT_SENT)
     asks = [world.ask(world.routers["r000"], "/look/x", Patience="30") for _ in range(4)]
     world.run(0.2)
@@ -452,7 +454,7 @@
 
 def test_the_rest_goes_to_the_others():
     world, _ = _world(6, 1, 1, 1.0)
-    asks = _crowd(world, 6.0, 60.0)
+    asks = _send_traffic(world, 6.0, 60.0)
     assert {ask.status for ask in asks[:-60]} == {200}
 
 
@@ -477,7 +479,7 @@
 
 def test_a_stream_that_may_go_on_elsewhere_does_not_wait_for_a_share():
     world, _ = _world(1, 1, 1, 0.2)
-    _crowd(world, 1.0, 20.0)
+    _send_traffic(world, 1.0, 20.0)
     for each in world.endpoints.by_address.values():
         each.reply = Reply(events=6, gap_s=0.05)
         each.replies = [Reply(events=6, gap_s=0.05, break_after=2)] * 3
@@ -496,7 +498,7 @@
         lambda sender, receiver, message: isinstance(message, EndpointUpdate)
         and told.append(1) is None
     )
-    _crowd(world, 2.0, 50.0)
+    _send_traffic(world, 2.0, 50.0)
     assert told == []
     for router in world.routers.values():
         assert router.gateway.gate.shares._send_times == {}
--- a/umberhitch/tasks/direct/tests/test_cold.py
+++ b/umberhitch/tasks/direct/tests/test_cold.py
@@ -60,7 +60,7 @@
     assert served >= len(statuses) * len(cold) * RATE / 100 / 3
 
 
-def test_who_finds_no_share_left_is_refused_at_once_and_told_when_to_come_back():
+def test_requests_over_the_quota_are_refused_at_once_with_a_retry_time():
     world = _world(1, 0)
     endpoint = world.add_endpoint("c0", cold_s=COLD_S)
     world.run(1.0)
@@ -102,7 +102,7 @@
     assert _worst_second(cold) <= BOUND
 
 
-def test_a_router_whose_seat_has_run_out_sends_nothing_to_a_cold_endpoint():
+def test_a_router_whose_lease_has_expired_sends_nothing_to_a_cold_endpoint():
     world = _world(1, 0, is_strict=False)
     cold = world.add_endpoint("c0", cold_s=60.0)
     world.run(1.0)
@@ -142,7 +142,7 @@
     assert sum(len(each.calls) for each in cold) > 0
 
 
-def test_endpoints_of_a_zone_that_is_back_are_not_rushed():
+def test_endpoints_of_a_restored_zone_keep_the_bound():
     world = _world(20, 2, zone="a")
     for each in world.endpoints.by_address.values():
         each.reply = Reply(delay_s=1.0)
--- a/umberhitch/tasks/direct/tests/test_crash_blame.py
+++ b/umberhitch/tasks/direct/tests/test_crash_blame.py
@@ -116,8 +116,8 @@
     """Collect what is said against versions from now on."""
     found: list[AnswerVerdict] = []
     for router in fleet.all_routers:
-        note = router.gateway.canary_controller.note
-        router.gateway.canary_controller.note = lambda *args, _note=note: (
+        note = router.gateway.canary_controller.record_answer
+        router.gateway.canary_controller.record_answer = lambda *args, _note=note: (
             found.append(args[-1]),
             _note(*args),
         )
--- a/umberhitch/tasks/direct/tests/test_draining_and_backoff.py
+++ b/umberhitch/tasks/direct/tests/test_draining_and_backoff.py
@@ -15,7 +15,7 @@
 from umberhitch.ports.direct import CallFailure
 from umberhitch.tasks.direct.membership import MembershipLimits
 from umberhitch.tasks.direct.send_gate import RETRY_SPREAD_S
-from umberhitch.tasks.direct.tests import test_named_limits as limits
+from umberhitch.tasks.direct.tests import test_advertised_limits as limits
 from umberhitch.tasks.direct.tests import test_zones as zones
 from umberhitch.testing import (
     DirectWorld,
@@ -53,7 +53,7 @@
 
 
 def _crowd(world: DirectWorld, seconds: float, path: str = "/look/x") -> list:
-    return limits._crowd(world, seconds, CROWD, path)
+    return limits._send_traffic(world, seconds, CROWD, path)
 
 
 def _assert_signals_respected(endpoints: list[FakeEndpoint]) -> None:
@@ -77,7 +77,7 @@
     _crowd(world, 2.0)
     for each in backing_off:
         each.rests_s = 3.0
-    reqs = limits._crowd(world, 12.0, PRESS)
+    reqs = limits._send_traffic(world, 12.0, PRESS)
     world.run(1.0)
     for each in backing_off:
         assert set(sent_while_resting(each)) == {0}
@@ -543,6 +543,6 @@
     world, endpoints = _world(6, 0, 12, slack=20.0)
     for each in endpoints:
         each.reply = Reply(status=503, delay_s=0.002, is_signed=False, not_run=True)
-    reqs = limits._crowd(world, 10.0, PRESS)
+    reqs = limits._send_traffic(world, 10.0, PRESS)
     calls = sum(len(each.calls) for each in endpoints)
     assert 0.5 * len(reqs) <= calls - len(reqs) <= 0.9 * len(reqs) + 20.0
--- a/umberhitch/tasks/direct/tests/test_herding.py
+++ b/umberhitch/tasks/direct/tests/test_herding.py
@@ -7,7 +7,7 @@
 """
 
 from umberhitch.fakes import Reply
-from umberhitch.tasks.direct.tests import test_named_limits as limits
+from umberhitch.tasks.direct.tests import test_advertised_limits as limits
 
 REFUSED = Reply(status=503, delay_s=0.01, is_signed=False, not_run=True)
 CROWD = 30.0
@@ -17,11 +17,11 @@
     world, endpoints = limits._world(3, 0, 12, None)
     for each in endpoints:
         each.reply = Reply(delay_s=0.05)
-    limits._crowd(world, 3.0, CROWD)
+    limits._send_traffic(world, 3.0, CROWD)
     busiest = sorted(endpoints, key=lambda each: -len(each.calls))[:4]
     for each in busiest:
         each.reply = REFUSED
-    reqs = limits._crowd(world, 3.0, CROWD)
+    reqs = limits._send_traffic(world, 3.0, CROWD)
     world.run(1.0)
     assert sum(req.status == 200 for req in reqs) >= 0.95 * len(reqs)
 
@@ -32,8 +32,8 @@
         each.reply = Reply(delay_s=0.05)
     for each in endpoints[:8]:
         each.reply = REFUSED
-    limits._crowd(world, 1.0, CROWD)
-    reqs = limits._crowd(world, 3.0, CROWD)
+    limits._send_traffic(world, 1.0, CROWD)
+    reqs = limits._send_traffic(world, 3.0, CROWD)
     world.run(1.0)
     assert sum(req.status == 200 for req in reqs) >= 0.95 * len(reqs)
 
@@ -42,7 +42,7 @@
     world, endpoints = limits._world(6, 0, 12, None)
     for each in endpoints:
         each.reply = Reply(delay_s=0.02)
-    limits._crowd(world, 3.0, CROWD)
+    limits._send_traffic(world, 3.0, CROWD)
     most = max(len(each.calls) for each in endpoints)
     assert most <= 0.6 * sum(len(each.calls) for each in endpoints)
 
@@ -52,8 +52,8 @@
     for each in endpoints:
         each.reply = Reply(delay_s=0.3)
     endpoints[0].reply = REFUSED
-    limits._crowd(world, 2.0, CROWD)
+    limits._send_traffic(world, 2.0, CROWD)
     endpoints[0].reply = Reply(delay_s=0.3)
     calls = len(endpoints[0].calls)
-    limits._crowd(world, 4.0, CROWD)
+    limits._send_traffic(world, 4.0, CROWD)
     assert len(endpoints[0].calls) > calls + 20
--- a/umberhitch/tasks/direct/tests/test_limit_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_limit_fuzz.py
@@ -27,12 +27,12 @@
 REPLY_S = 0.05
 CONTACT_S = 3.0
 """The bound holds from so long after an endpoint first names a limit."""
-TOLD_S = 0.5
+LIMIT_KNOWN_S = 0.5
 """What a router sends counts from so long after it has passed on an answer that names one."""
 
 
 @dataclass
-class Named:
+class AdvertisedRates:
     """What one endpoint has named, and which routers have passed that on.
 
     Attributes
@@ -44,8 +44,8 @@
     """
 
     rates: list[tuple[float, float | None]] = field(default_factory=list)
-    told_s: dict[str, float] = field(default_factory=dict)
-    seen: int = 0
+    known_s: dict[str, float] = field(default_factory=dict)
+    collected_calls: int = 0
     """Calls that were looked at."""
     counted_s: list[float] = field(default_factory=list)
     """Arrivals that count."""
@@ -73,7 +73,7 @@
     def begin(self) -> None:
         """Start a deployment."""
         self.world = DirectWorld()
-        self.named = {name: Named() for name in LIMITED}
+        self.advertised = {name: AdvertisedRates() for name in LIMITED}
         self.router_of: dict[str, str] = {}
         for name in (*LIMITED, "f0"):
             self.world.add_endpoint(name).reply = Reply(delay_s=REPLY_S)
@@ -91,10 +91,10 @@
     @rule(name=st.sampled_from(LIMITED), rate=st.sampled_from((None, *RATES)))
     def name_rate(self, name: str, rate: float | None) -> None:
         """Let an endpoint name a rate from now on, or none."""
-        self.look()
-        named = self.named[name]
+        self.collect_calls()
+        named = self.advertised[name]
         if rate is None:
-            named.told_s.clear()
+            named.known_s.clear()
         named.rates.append((self.now_s, rate))
         self.world.endpoints.by_address[f"@{name}"].limit_rate = rate
 
@@ -137,12 +137,12 @@
     @rule(name=st.sampled_from(ROUTERS))
     def restart(self, name: str) -> None:
         """Let a router lose power, and another start under its name."""
-        self.look()
+        self.collect_calls()
         self.world.kill_router(name)
         self.world.run(0.5)
         self.world.add_router(name, is_strict=False)
-        for named in self.named.values():
-            named.told_s.pop(name, None)
+        for named in self.advertised.values():
+            named.known_s.pop(name, None)
 
     @rule()
     def restart_all(self) -> None:
@@ -173,28 +173,30 @@
         """Let time pass."""
         self.world.run(seconds)
 
-    def look(self) -> None:
+    def collect_calls(self) -> None:
         """Take what endpoints got since the last look."""
-        for name, named in self.named.items():
+        for name, named in self.advertised.items():
             endpoint = self.world.endpoints.by_address[f"@{name}"]
-            calls = list(zip(endpoint.calls, endpoint.called_s, strict=True))[named.seen :]
-            named.seen += len(calls)
+            calls = list(zip(endpoint.calls, endpoint.called_s, strict=True))[
+                named.collected_calls :
+            ]
+            named.collected_calls += len(calls)
             for call, at_s in calls:
-                self.take(named, self.router_of.get(call.call_id, ""), at_s)
+                self.count_call(named, self.router_of.get(call.call_id, ""), at_s)
 
-    def take(self, named: Named, router: str, at_s: float) -> None:
+    def count_call(self, named: AdvertisedRates, router: str, at_s: float) -> None:
         """Count a call, if its router had been told."""
-        told_s = named.told_s.get(router)
-        if told_s is not None and at_s >= told_s + TOLD_S:
+        told_s = named.known_s.get(router)
+        if told_s is not None and at_s >= told_s + LIMIT_KNOWN_S:
             named.counted_s.append(at_s)
         if told_s is None and named.since_s is not None:
-            named.told_s[router] = max(at_s, named.since_s) + REPLY_S
+            named.known_s[router] = max(at_s, named.since_s) + REPLY_S
 
     @invariant()
     def limits_are_kept(self) -> None:
         """By all routers together that know, whatever they see of each other."""
-        self.look()
-        for name, named in self.named.items():
+        self.collect_calls()
+        for name, named in self.advertised.items():
             since_s = named.since_s
             if since_s is None:
                 continue
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -11,7 +11,7 @@
 from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.tasks.direct.send_gate import SendGate
 from umberhitch.tasks.direct.signal_sharing import SignalSharing
-from umberhitch.tasks.direct.tests import test_named_limits as limits
+from umberhitch.tasks.direct.tests import test_advertised_limits as limits
 from umberhitch.testing._mutations import Mutation, assert_missed
 
 Test = Callable[[], None]
@@ -19,55 +19,63 @@
 
 def nothing_is_heard(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SendGate, "apply_head", lambda self, endpoint, head: None)
-    return lambda: limits.test_engines_that_name_a_limit_get_no_more_from_four_routers_together(1.6)
+    return (
+        lambda: limits.test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers_together(
+            1.6
+        )
+    )
 
 
 def the_choice_ignores_it(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, found: found)
-    return lambda: limits.test_no_kind_of_send_goes_past_a_named_limit(limits.zones.KINDS[0])
+    return lambda: limits.test_no_kind_of_send_exceeds_an_advertised_limit(limits.zones.KINDS[0])
 
 
 def nobody_counts(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "note_sent", lambda self, lifetime, now_s: None)
-    return lambda: limits.test_engines_that_name_a_limit_get_no_more_from_four_routers_together(1.6)
+    return (
+        lambda: limits.test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers_together(
+            1.6
+        )
+    )
 
 
 def every_router_has_the_first_share(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "_rank", lambda self, lifetime: 0)
-    return limits.test_routers_that_do_not_see_each_other_keep_it_together
+    return limits.test_routers_cut_off_from_each_other_keep_the_limit_together
 
 
 def nobody_is_told(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SignalSharing, "_make_updates", lambda self, lifetimes: [])
-    return limits.test_peers_know_it_at_once_and_who_lost_the_word_within_seconds
+    return limits.test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds
 
 
 def nobody_is_told_again(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
-    return limits.test_peers_know_it_at_once_and_who_lost_the_word_within_seconds
+    return limits.test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds
 
 
 def new_routers_are_not_told(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SignalSharing, "all_updates", lambda self: [])
     patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
-    return limits.test_a_router_that_starts_is_told
+    return limits.test_a_router_that_starts_learns_the_limit
 
 
 def it_never_ends(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(AdvertisedLimits, "_end", lambda self, lifetime, at_s: None)
-    return limits.test_it_ends_when_it_is_no_longer_named
+    return limits.test_the_limit_ends_when_no_longer_advertised
 
 
 def peers_do_not_end_it(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(
         AdvertisedLimits, "apply_end_notice", lambda self, name, age_s, now_s: LimitChange.NONE
     )
-    return limits.test_it_ends_when_it_is_no_longer_named
+    return limits.test_the_limit_ends_when_no_longer_advertised
 
 
 def it_outlives_its_endpoint(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(AdvertisedLimits, "forget", lambda self, known: None)
-    return limits.test_a_new_lifetime_starts_without_one
+    return limits.test_a_new_lifetime_starts_without_a_limit
 
 
 def an_odd_word_ends_it(patch: pytest.MonkeyPatch) -> Test:
@@ -78,12 +86,12 @@
         heard(self, endpoint, replace(head, signals=replace(head.signals, limit=clear)))
 
     patch.setattr(SendGate, "apply_head", hear_all)
-    return limits.test_an_odd_word_neither_opens_nor_closes_an_endpoint
+    return limits.test_a_malformed_limit_changes_nothing
 
 
 def nothing_is_taken_for_used(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "assume_used", lambda self, lifetime, bound, now_s: None)
-    return limits.test_what_is_under_way_as_it_is_heard_counts
+    return limits.test_calls_that_run_when_the_limit_is_received_count
 
 
 def bursts_are_not_spread(patch: pytest.MonkeyPatch) -> Test:
@@ -94,7 +102,7 @@
 
 def a_list_is_never_kept(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "has_router_list", lambda self, now_s: self.is_registered)
-    return limits.test_without_the_store_half_of_it_is_still_used
+    return limits.test_without_the_store_half_of_the_limit_is_still_used
 
 
 def a_list_is_kept_for_ever(patch: pytest.MonkeyPatch) -> Test:
@@ -109,7 +117,7 @@
 
 def standing_still_is_not_noticed(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(fleet_share, "MAX_UPDATE_GAP_S", float("inf"))
-    return limits.test_a_router_that_stood_still_sends_nothing_until_its_place_is_sure
+    return limits.test_a_router_that_was_frozen_sends_nothing_until_its_rank_is_known
 
 
 def nobody_goes_first(patch: pytest.MonkeyPatch) -> Test:
@@ -119,14 +127,14 @@
 
 def all_are_told_to_come_at_once(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SendGate, "retry_after_s", lambda self, *args: 0.1)
-    return limits.test_what_nobody_can_take_is_refused_at_once_and_told_when_there_is_room
+    return limits.test_requests_over_all_limits_are_refused_at_once_with_a_retry_time
 
 
 def a_limit_closes_the_endpoint(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(
         FleetShare, "wait_s", lambda self, lifetime, bound, now_s, reserved=0: float("inf")
     )
-    return lambda: limits.test_it_is_kept_and_used_by_any_number_of_routers(6, 2.3)
+    return lambda: limits.test_the_limit_is_kept_and_used_by_any_number_of_routers(6, 2.3)
 
 
 def nobody_looks_for_itself(patch: pytest.MonkeyPatch) -> Test:
--- a/umberhitch/tasks/direct/tests/test_limit_pairs.py
+++ b/umberhitch/tasks/direct/tests/test_limit_pairs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from umberhitch.fakes import FakeEndpoint, Reply
-from umberhitch.tasks.direct.tests import test_named_limits as limits
+from umberhitch.tasks.direct.tests import test_advertised_limits as limits
 from umberhitch.testing import DirectWorld, limit_bound, make_direct_document, most_within
 
 RATE = 1.6
@@ -23,14 +23,14 @@
     for number in range(2):
         name = f"f{number}"
         world.endpoints.by_address[f"@{name}"].crash()
-        limits._crowd(world, 2.0, A_SECOND)
+        limits._send_traffic(world, 2.0, A_SECOND)
         world.add_endpoint(name, born=number + 7, zone="b").reply = Reply(delay_s=0.2)
 
 
 def _zone_out_and_back(world: DirectWorld, limited: list[FakeEndpoint]) -> None:
     """All that names no limit is out of service for a while."""
     world.take_out("b")
-    limits._crowd(world, 5.0, A_SECOND)
+    limits._send_traffic(world, 5.0, A_SECOND)
     world.take_back("b")
 
 
@@ -39,7 +39,7 @@
     document = make_direct_document(2, cold_rate=4.0, cold_start_s=3.0)
     world.operator.put("config", document)
     world.add_endpoint("c0", cold_s=3.0, zone="b").reply = Reply(delay_s=0.2)
-    limits._crowd(world, 4.0, A_SECOND)
+    limits._send_traffic(world, 4.0, A_SECOND)
 
 
 def _roll_out(world: DirectWorld, limited: list[FakeEndpoint]) -> None:
@@ -52,16 +52,16 @@
 
 
 def _burst(world: DirectWorld, limited: list[FakeEndpoint]) -> None:
-    limits._crowd(world, 2.0, 6 * A_SECOND)
+    limits._send_traffic(world, 2.0, 6 * A_SECOND)
 
 
 def _store_away(world: DirectWorld, limited: list[FakeEndpoint]) -> None:
     for router in world.routers.values():
         router.faults.is_down = True
-    limits._crowd(world, 11.0, A_SECOND)
+    limits._send_traffic(world, 11.0, A_SECOND)
     for router in world.routers.values():
         router.faults.is_down = False
-    limits._crowd(world, SEATS_S, A_SECOND)  # until then each uses 0.6 of its share
+    limits._send_traffic(world, SEATS_S, A_SECOND)  # until then each uses 0.6 of its share
 
 
 def _restarts(world: DirectWorld, limited: list[FakeEndpoint]) -> None:
@@ -69,7 +69,7 @@
     for name in list(world.routers):
         world.kill_router(name)
         world.add_router(name, zone="c", is_strict=False)
-        limits._crowd(world, 1.0, A_SECOND)
+        limits._send_traffic(world, 1.0, A_SECOND)
 
 
 def _failing_others(world: DirectWorld, limited: list[FakeEndpoint]) -> None:
@@ -94,11 +94,11 @@
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda each: each.__name__.strip("_"))
 def test_a_limit_is_kept_and_used_beside(trouble: Trouble):
     world, limited = limits._world(ROUTERS, 3, 2, RATE, is_strict=False)
-    limits._crowd(world, 0.6, A_SECOND)
+    limits._send_traffic(world, 0.6, A_SECOND)
     told_s = world.clock.seconds()
     trouble(world, limited)
     pressed_s = world.clock.seconds()
-    limits._crowd(world, PRESS_S, A_SECOND)
+    limits._send_traffic(world, PRESS_S, A_SECOND)
     for endpoint in limited:
         assert most_within(endpoint, told_s) <= limit_bound(RATE)
         used = sum(at_s >= pressed_s for at_s in endpoint.called_s)
--- a/umberhitch/tasks/direct/tests/test_membership.py
+++ b/umberhitch/tasks/direct/tests/test_membership.py
@@ -88,7 +88,7 @@
     states = [state for _, _, state in world.statuses]
     assert states == [RolloutState.IN_PROGRESS, RolloutState.COMPLETED]
     assert _status_calls(world) <= 8
-    found = {router.trials._trials["svc"].state for router in world.routers.values()}
+    found = {router.trials._canaries["svc"].state for router in world.routers.values()}
     assert found == {RolloutState.COMPLETED}
 
 
--- a/umberhitch/tasks/direct/tests/test_seats.py
+++ b/umberhitch/tasks/direct/tests/test_seats.py
@@ -5,7 +5,7 @@
 router counts itself among the listed ones, and the others do not know of it.
 """
 
-from umberhitch.tasks.direct.tests import test_named_limits as limits
+from umberhitch.tasks.direct.tests import test_advertised_limits as limits
 
 
 def test_a_limit_is_kept_by_more_routers_than_there_are_seats():
@@ -16,7 +16,7 @@
     for each in world.endpoints.by_address.values():
         each.reply.delay_s = 0.5
     world.run(limits.SETTLED_S)
-    limits._crowd(world, 3.0, 200.0)
+    limits._send_traffic(world, 3.0, 200.0)
     limited_s = world.clock.seconds()
-    limits._crowd(world, 12.0, 200.0)
+    limits._send_traffic(world, 12.0, 200.0)
     limits._assert_kept(world, endpoints[0], 2.0, limited_s)
--- a/umberhitch/tasks/direct/tests/test_signal_pairs.py
+++ b/umberhitch/tasks/direct/tests/test_signal_pairs.py
@@ -6,8 +6,8 @@
 
 from umberhitch.core.direct import ClosedEndpoints
 from umberhitch.fakes import Reply
+from umberhitch.tasks.direct.tests import test_advertised_limits as limits
 from umberhitch.tasks.direct.tests import test_draining_and_backoff as draining_tests
-from umberhitch.tasks.direct.tests import test_named_limits as limits
 from umberhitch.testing import (
     DirectWorld,
     limit_bound,
@@ -150,7 +150,7 @@
     backing_off, draining = unavailable
     backing_off.rests_s = REST_S
     draining_tests._drain(draining)
-    reqs = limits._crowd(world, 6.0, 100.0)
+    reqs = limits._send_traffic(world, 6.0, 100.0)
     world.run(1.0)
     assert sent_after_leaving(draining) == []
     assert set(sent_while_resting(backing_off)) <= {0}
@@ -177,6 +177,6 @@
     for router in world.routers.values():
         router.gateway.gate.closed.apply_backoff("l0", 1.0, 30, world.clock.seconds())
     calls = len(backing_off.calls)
-    reqs = limits._crowd(world, 6.0, 200.0)
+    reqs = limits._send_traffic(world, 6.0, 200.0)
     world.run(1.0)
     assert len(backing_off.calls) - calls > 0.1 * len(reqs)
--- a/umberhitch/tasks/direct/tests/test_zone_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_zone_fuzz.py
@@ -26,7 +26,7 @@
 RATE = 2.0
 COLD_S = 8.0
 BOUND = 1.5 * RATE + 5.0
-MOST_ENDPOINTS = 9
+MAX_ENDPOINTS = 9
 
 
 class ZoneMachine(RuleBasedStateMachine):
@@ -60,7 +60,7 @@
     @rule(zone=st.sampled_from(ZONES), is_cold=st.booleans())
     def add_endpoint(self, zone: str, is_cold: bool) -> None:
         """Let an endpoint come, perhaps cold from the first."""
-        if len(self.zone_of) >= MOST_ENDPOINTS:
+        if len(self.zone_of) >= MAX_ENDPOINTS:
             return
         name = f"{zone}{len(self.zone_of)}"
         self.zone_of[name] = zone
@@ -94,7 +94,7 @@
         for router in self.world.routers.values():
             router.faults.is_down = False
         self.change_zone(zone, True)
-        self.begin_bounds()
+        self.restart_bounds()
         self.world.run(IN_FORCE_S + 0.1)
         self.crowd(set(ROUTERS), 2)
         self.zones_out_get_nothing_new()
@@ -110,7 +110,7 @@
     def cut_store(self, name: str, is_down: bool) -> None:
         """Cut a router off from the store, or mend that."""
         self.world.routers[name].faults.is_down = is_down
-        self.begin_bounds()
+        self.restart_bounds()
 
     @rule(one=st.sampled_from(ROUTERS), other=st.sampled_from(ROUTERS), is_cut=st.booleans())
     def cut_peers(self, one: str, other: str, is_cut: bool) -> None:
@@ -126,7 +126,7 @@
         self.world.kill_router(name)
         self.world.run(0.5)
         self.world.add_router(name, zone="c")
-        self.begin_bounds()
+        self.restart_bounds()
 
     @rule()
     def restart_all(self) -> None:
@@ -136,7 +136,7 @@
         self.world.run(0.5)
         for name in ROUTERS:
             self.world.add_router(name, zone="c")
-        self.begin_bounds()
+        self.restart_bounds()
 
     @rule(name=st.sampled_from(ROUTERS), seconds=st.sampled_from((0.5, 4.0)))
     def freeze(self, name: str, seconds: float) -> None:
@@ -147,7 +147,7 @@
         clock.resume()
         link.resume()
         clock.is_paused = link.is_paused = False
-        self.begin_bounds()
+        self.restart_bounds()
 
     @rule()
     def change(self) -> None:
@@ -161,7 +161,7 @@
         """Let time pass."""
         self.world.run(seconds)
 
-    def begin_bounds(self) -> None:
+    def restart_bounds(self) -> None:
         """Count what has to be in force from now on: a router was not in touch."""
         self.out_s = dict.fromkeys(self.out_s, self.now_s)
 
@@ -169,7 +169,7 @@
     def zones_out_get_nothing_new(self) -> None:
         """Later than the bound, from routers that reach the store."""
         if any(each.faults.is_down for each in self.world.routers.values()):
-            self.begin_bounds()
+            self.restart_bounds()
         for name, zone in self.zone_of.items():
             since_s = self.out_s.get(zone)
             if since_s is not None:
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -31,11 +31,11 @@
 
     def known_homes_move() -> None:
         world = zones._world()
-        zones._home_of_a_prompt(world)
+        zones._affinity_of_a_prompt(world)
         before = zones._calls(world, "b")
         world.take_out("b")
         world.run(1.0)
-        zones._home_of_a_prompt(world)
+        zones._affinity_of_a_prompt(world)
         assert zones._calls(world, "b") == before
 
     return known_homes_move
@@ -45,7 +45,7 @@
     patch.setattr(
         StoreView, "_apply_order_snapshot", lambda s, batch: s._apply_orders(batch, False)
     )
-    return zones.test_a_record_that_is_gone_without_a_trace_means_back
+    return zones.test_a_record_missing_from_a_snapshot_restores_the_zone
 
 
 def every_router_sends(patch: pytest.MonkeyPatch) -> Test:
@@ -55,7 +55,7 @@
 
 def nobody_counts(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "note_sent", lambda self, lifetime, now_s: None)
-    return cold.test_who_finds_no_share_left_is_refused_at_once_and_told_when_to_come_back
+    return cold.test_requests_over_the_quota_are_refused_at_once_with_a_retry_time
 
 
 def all_are_settled_at_once(patch: pytest.MonkeyPatch) -> Test:
@@ -65,7 +65,7 @@
 
 def seats_last_for_ever(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Membership, "is_known_to_peers", lambda self: True)
-    return cold.test_a_router_whose_seat_has_run_out_sends_nothing_to_a_cold_endpoint
+    return cold.test_a_router_whose_lease_has_expired_sends_nothing_to_a_cold_endpoint
 
 
 def entries_are_not_believed(patch: pytest.MonkeyPatch) -> Test:
@@ -75,7 +75,7 @@
 
 def zones_return_warm(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Endpoint, "presume_cold", lambda self, until_s, source: None)
-    return cold.test_endpoints_of_a_zone_that_is_back_are_not_rushed
+    return cold.test_endpoints_of_a_restored_zone_keep_the_bound
 
 
 def cold_endpoints_get_nothing(patch: pytest.MonkeyPatch) -> Test:
--- a/umberhitch/tasks/direct/tests/test_zones.py
+++ b/umberhitch/tasks/direct/tests/test_zones.py
@@ -51,7 +51,7 @@
         each.reply = reply
 
 
-def _ask_many(world: DirectWorld, path: str, count: int = 40, **headers: str) -> list[int | None]:
+def _send_many(world: DirectWorld, path: str, count: int = 40, **headers: str) -> list[int | None]:
     names = list(world.routers)
     asks = []
     for number in range(count):
@@ -66,54 +66,54 @@
 
 
 def _first_choice(world: DirectWorld) -> None:
-    _ask_many(world, "/look/x")
+    _send_many(world, "/look/x")
 
 
 def _call_that_must_not_repeat(world: DirectWorld) -> None:
-    _ask_many(world, "/order/x")
+    _send_many(world, "/order/x")
 
 
 def _retry_after_failures(world: DirectWorld) -> None:
     _set_replies(world, ERROR)
-    _ask_many(world, "/look/x")
+    _send_many(world, "/look/x")
 
 
-def _dial_after_dial(world: DirectWorld) -> None:
+def _failed_connections(world: DirectWorld) -> None:
     _set_replies(world, Reply(failure=CallFailure.NOT_SENT))
-    _ask_many(world, "/look/x")
+    _send_many(world, "/look/x")
 
 
-def _shed_and_again(world: DirectWorld) -> None:
+def _shed_and_retried(world: DirectWorld) -> None:
     _set_replies(world, Reply(status=503, not_run=True, is_signed=False))
-    _ask_many(world, "/look/x")
+    _send_many(world, "/look/x")
 
 
-def _silent_and_elsewhere(world: DirectWorld) -> None:
+def _silent_endpoints(world: DirectWorld) -> None:
     _set_replies(world, Reply(is_silent=True))
-    _ask_many(world, "/look/x", 8)
+    _send_many(world, "/look/x", 8)
 
 
 def _resumed_stream(world: DirectWorld) -> None:
     _set_replies(world, Reply(events=4, break_after=2))
-    _ask_many(world, "/draft/x", Prompt=PROMPT)
+    _send_many(world, "/draft/x", Prompt=PROMPT)
 
 
 def _larger_model(world: DirectWorld) -> None:
     _set_replies(world, Reply(delay_s=0.3, events=4, confidence=1))
-    _ask_many(world, "/draft/x", Prompt=PROMPT, Any_Model="1")
+    _send_many(world, "/draft/x", Prompt=PROMPT, Any_Model="1")
 
 
-def _home_of_a_prompt(world: DirectWorld) -> None:
+def _affinity_of_a_prompt(world: DirectWorld) -> None:
     _set_replies(world, STREAM)
     for number in range(30):
-        _ask_many(world, "/draft/x", 1, Prompt=f"part{number}:3000,own:10")
+        _send_many(world, "/draft/x", 1, Prompt=f"part{number}:3000,own:10")
 
 
-def _roll_out_that_is_only_there(world: DirectWorld) -> None:
+def _roll_out_in_that_zone_only(world: DirectWorld) -> None:
     world.add_endpoint("b9", "v2", zone="b")
     world.run(1.2)
     world.roll_out("v2", 8.0)
-    _ask_many(world, "/look/x", 200)
+    _send_many(world, "/look/x", 200)
 
 
 def _roll_out_everywhere(world: DirectWorld) -> None:
@@ -121,26 +121,26 @@
         world.add_endpoint(f"{zone}9", "v2", zone=zone)
     world.run(1.2)
     world.roll_out("v2", 8.0)
-    _ask_many(world, "/look/x", 300, Session_Name="s1")
+    _send_many(world, "/look/x", 300, Session_Name="s1")
 
 
 def _request_that_is_held(world: DirectWorld) -> None:
     for each in world.endpoints.by_address.values():
         each.crashing = {b"body": 0.3}
-    _ask_many(world, "/look/x", 10)
+    _send_many(world, "/look/x", 10)
 
 
 KINDS = (
     _first_choice,
     _call_that_must_not_repeat,
     _retry_after_failures,
-    _dial_after_dial,
-    _shed_and_again,
-    _silent_and_elsewhere,
+    _failed_connections,
+    _shed_and_retried,
+    _silent_endpoints,
     _resumed_stream,
     _larger_model,
-    _home_of_a_prompt,
-    _roll_out_that_is_only_there,
+    _affinity_of_a_prompt,
+    _roll_out_in_that_zone_only,
     _roll_out_everywhere,
     _request_that_is_held,
 )
@@ -218,7 +218,7 @@
     world.run(0.2)
     assert not _is_out(world.routers["r0"])
     _set_replies(world, Reply(delay_s=1.0))
-    _ask_many(world, "/look/x")
+    _send_many(world, "/look/x")
     assert _calls(world, "b") > 0
 
 
@@ -234,7 +234,7 @@
     assert all(map(_is_out, world.routers.values()))
 
 
-def test_a_record_that_is_gone_without_a_trace_means_back():
+def test_a_record_missing_from_a_snapshot_restores_the_zone():
     """Its deletion was dropped with the history: a whole read has nothing of it."""
     world = _world()
     router = world.routers["r0"]
--- a/umberhitch/testing/_direct.py
+++ b/umberhitch/testing/_direct.py
@@ -37,13 +37,13 @@
     StoreFaults,
 )
 from umberhitch.ports.direct import FeedPort, Member, OperatorValue, RawRequest, StoredHold
+from umberhitch.tasks.direct.canary_controller import CanaryController
 from umberhitch.tasks.direct.gateway import Gateway
 from umberhitch.tasks.direct.gateway_limits import GatewaySettings
 from umberhitch.tasks.direct.peers import DirectPeers
 from umberhitch.tasks.direct.read_sharing import ReadSharing, StreamName
 from umberhitch.tasks.direct.shared_view import share_stream
 from umberhitch.tasks.direct.stored_holds import StoredHolds
-from umberhitch.tasks.direct.trials import Trials
 
 __all__ = [
     "DirectAsk",
@@ -110,7 +110,7 @@
     """One router with what is its own."""
 
     gateway: Gateway
-    trials: Trials
+    trials: CanaryController
     peers: DirectPeers
     clock: ProcessClock
     faults: StoreFaults
@@ -175,7 +175,7 @@
         operator = FakeFeed(self.operator, clock, faults)
         registry = FakeFeed(self.registry, clock, faults)
         statuses = FakeStatuses(self.statuses, status_faults or faults)
-        trials = Trials(clock, Random(name), statuses)
+        trials = CanaryController(clock, Random(name), statuses)
         link = self.network.link(name)
         sharing = ReadSharing(name, 1, clock, Random(name), link.send)
         operator_view = share_stream(sharing, StreamName.OPERATOR, operator_port or operator)
