--- a/umberhitch/tasks/direct/canary_controller.py
+++ b/umberhitch/tasks/direct/canary_controller.py
@@ -1,7 +1,8 @@
-"""Drives the roll-outs of the direct path, and tells each request which version is its.
+"""Controls the canary roll-outs of the direct path and chooses the version for each request.
 
-Every router drives: verdicts come from evidence that all share, and only grow worse for a version
-or further in time. How one of them comes to stand in the store: `tasks/direct/stored_states`.
+Every router does so on its own. The decisions follow from evidence that all routers share, and they
+only change toward a later state or against a version. `tasks/direct/stored_states` describes how a
+decision is written to the store.
 """
 
 from collections import OrderedDict
@@ -32,14 +33,16 @@
 UPDATE_INTERVAL_S = 0.1
 MAX_RECENT_SESSIONS = 20_000
 MAX_PINNED_SESSIONS = 200
-"""Sessions in a report; they are 8 % of those of the last seconds at one router."""
+"""Maximum number of sessions on the old version in a report. About 8 % of the sessions of the last
+seconds at one router are reported."""
 MAX_MOVED_SESSIONS = 400
-"""The same of those that moved while one endpoint was loaded, for the time of a session."""
+"""Maximum number of sessions in a report that moved to the new version during the load test. They
+are reported for the timeout of a session."""
 HASH_RANGE = 1 << 64
 
 
 class CanaryController:
-    """All roll-outs, as one router sees them.
+    """One router's state of all roll-outs.
 
     Parameters
     ----------
@@ -50,10 +53,11 @@
 
     Attributes
     ----------
-    running : callable
-        Returns how many calls run on an endpoint, those of other routers included.
-    old_running : callable
-        Returns how many calls run on endpoints of a service that are not of a version.
+    running_calls : callable
+        Returns the number of calls that run on an endpoint, including those of other routers.
+    running_on_other_versions : callable
+        Returns the number of calls that run on a service's endpoints of all other versions than
+        the given one.
     """
 
     def __init__(
@@ -64,7 +68,7 @@
         self._limits = limits or CanaryLimits()
         self._canaries: dict[str, Canary] = {}
         self._exposure_checks: dict[str, tuple[float, bool]] = {}
-        """By service: when the exposure bound was looked at, and whether it was kept."""
+        """By service: when the exposure bound was last checked, and whether it was kept."""
         self._states = StoredRolloutStates(clock, status, self._apply_final_state)
         self._recent: dict[str, OrderedDict[str, tuple[float, float]]] = {}
         self._is_stopped = False
@@ -73,96 +77,96 @@
         self._on_update: Callable[[], None] = do_nothing
 
     def follow_peers(self, rank: Callable[[], int | None], on_update: Callable[[], None]) -> None:
-        """Take what the other routers make known.
+        """Set the callbacks that connect this controller to the peers.
 
         Parameters
         ----------
         rank : callable
-            Returns this router's place among those that the store lists, 0 first; None before they
-            are known.
+            Returns this router's rank among those that the store lists, counted from 0, or None
+            before the list is known.
         on_update : callable
-            Called when there is something that the others are to be told at once.
+            Called when there is an update to send to the peers at once.
         """
         self._on_update = on_update
         self._states.rank = rank
         self._states.on_unsent = on_update
 
     def start(self) -> None:
-        """Begin to drive."""
+        """Start to update the roll-outs periodically."""
         if self._is_stopped:
             return
         now_s = self._clock.seconds()
-        for service, trial in self._canaries.items():
-            self._update(service, trial, now_s)
+        for service, canary in self._canaries.items():
+            self._update(service, canary, now_s)
         self._clock.callLater(UPDATE_INTERVAL_S, self.start)
 
     def stop(self) -> None:
-        """Drive no more."""
+        """Stop the updates."""
         self._is_stopped = True
         self._states.stop()
 
     # Orders
 
     def apply_order(self, order: RolloutOrder) -> None:
-        """Take an operator's order; one that is known already changes nothing."""
+        """Apply an operator's order; an order that is already known changes nothing."""
         known = self._canaries.get(order.service)
         if known is not None and known.order == order:
             return
         now_s = self._clock.seconds()
-        trial = Canary(order, now_s, self._limits)
+        canary = Canary(order, now_s, self._limits)
         for session, (at_s, draw) in self._recent.pop(order.service, {}).items():
-            trial.note_old_session(session, at_s, draw)
-        trial.unreported_pinned = trial.pinned_sessions(now_s)
-        self._canaries[order.service] = trial
-        self._notify_updates(trial)
+            canary.note_old_session(session, at_s, draw)
+        canary.unreported_pinned = canary.pinned_sessions(now_s)
+        self._canaries[order.service] = canary
+        self._notify_updates(canary)
         self._exposure_checks.pop(order.service, None)
         log.info("roll-out begins", extra={"service": order.service, "target": order.target})
-        self._states.follow(trial)
+        self._states.follow(canary)
 
     def drop(self, service: str) -> None:
-        """Forget an order that the operator has taken back."""
+        """Forget the order of a service, which the operator has withdrawn."""
         self._canaries.pop(service, None)
         self._states.drop(service)
 
     def retain(self, orders: list[RolloutOrder]) -> None:
-        """Forget the orders that are not among those that stand."""
-        stands = {order.service for order in orders}
-        for service in [each for each in self._canaries if each not in stands]:
+        """Forget all orders that are not among the given ones."""
+        retained = {order.service for order in orders}
+        for service in [each for each in self._canaries if each not in retained]:
             self.drop(service)
 
     def is_any_in_progress(self) -> bool:
-        """Whether a roll-out is in progress, so that evidence has to be told soon."""
-        states = [trial.state for trial in self._canaries.values()]
+        """Whether a roll-out is in progress, so that evidence has to be reported soon."""
+        states = [canary.state for canary in self._canaries.values()]
         return RolloutState.IN_PROGRESS in states
 
-    def _update(self, service: str, trial: Canary, now_s: float) -> None:
-        running = self.running_on_other_versions(service, trial.order.target)
-        verdict = trial.next_state(now_s, running)
-        if verdict is RolloutState.ROLLED_BACK and trial.state is not verdict:
-            self._set_state(trial, verdict)
-        self._states.ensure_written(trial, verdict)
+    def _update(self, service: str, canary: Canary, now_s: float) -> None:
+        running = self.running_on_other_versions(service, canary.order.target)
+        verdict = canary.next_state(now_s, running)
+        if verdict is RolloutState.ROLLED_BACK and canary.state is not verdict:
+            self._set_state(canary, verdict)
+        self._states.ensure_written(canary, verdict)
 
-    def _apply_final_state(self, trial: Canary, state: RolloutState) -> None:
-        """Take over a final state that stands in the store."""
-        if self._canaries.get(trial.order.service) is trial:
-            self._set_state(trial, state)
+    def _apply_final_state(self, canary: Canary, state: RolloutState) -> None:
+        """Apply a final state that the store has."""
+        if self._canaries.get(canary.order.service) is canary:
+            self._set_state(canary, state)
 
-    def _set_state(self, trial: Canary, state: RolloutState) -> None:
-        if trial.state is state:
+    def _set_state(self, canary: Canary, state: RolloutState) -> None:
+        if canary.state is state:
             return
-        trial.state = state
+        canary.state = state
         facts: dict[str, object] = {
-            "service": trial.order.service,
-            "target": trial.order.target,
+            "service": canary.order.service,
+            "target": canary.order.target,
             "state": state,
         }
         for name, counts in (
-            ("new", trial.pooled_counts(True)),
-            ("old", trial.pooled_counts(False)),
+            ("new", canary.pooled_counts(True)),
+            ("old", canary.pooled_counts(False)),
         ):
             for what in ("answers", "failed", "broken", "paced", "slow"):
                 facts[f"{name}_{what}"] = getattr(counts, what)
-        facts["part"] = round(trial.progress(self._clock.seconds()), 3)
+        facts["part"] = round(canary.progress(self._clock.seconds()), 3)
         log.info("roll-out state", extra=facts)
 
     # Requests
@@ -175,28 +179,28 @@
         endpoints: list[Endpoint],
         is_light: bool = False,
     ) -> bool | None:
-        """Return whether a request goes to the new version; None where there is no roll-out.
+        """Return whether a request goes to the new version, or None if there is no roll-out.
 
         Parameters
         ----------
         service : str
         session : str or None
-            Requests of one session are drawn alike at every router.
+            All requests of a session have the same draw at every router.
         now_s : float
         endpoints : list of Endpoint
-            Those of the service that take work.
+            The endpoints of the service that accept work.
         is_light : bool
-            Whether the request reads little, so that many of them fit on one endpoint.
+            Whether the request needs little prefill, so that many of them fit on one endpoint.
         """
         draw = self._rng.random() if session is None else _hash_fraction(session)
-        trial = self._canaries.get(service)
-        if trial is not None:
+        canary = self._canaries.get(service)
+        if canary is not None:
             has_target = self._states.is_earlier_decision_known(service) and any(
-                each.entry.version == trial.order.target for each in endpoints
+                each.entry.version == canary.order.target for each in endpoints
             )
-            is_within = self._is_within_exposure(trial, endpoints, now_s)
-            chosen = trial.routes_to_target(session, draw, now_s, has_target, is_light, is_within)
-            self._notify_updates(trial)
+            is_within = self._is_within_exposure(canary, endpoints, now_s)
+            chosen = canary.routes_to_target(session, draw, now_s, has_target, is_light, is_within)
+            self._notify_updates(canary)
             return chosen
         if session is not None:
             recent = self._recent.setdefault(service, OrderedDict())
@@ -207,29 +211,29 @@
         return None
 
     def note_request_finished(self, service: str, session: str | None) -> None:
-        """Take note that a request of a session has its answer."""
+        """Record the end of a session's request."""
         if session is None:
             return
         now_s = self._clock.seconds()
-        trial = self._canaries.get(service)
-        if trial is not None:
-            trial.note_request_finished(session, now_s)
+        canary = self._canaries.get(service)
+        if canary is not None:
+            canary.note_request_finished(session, now_s)
         elif session in self._recent.get(service, ()):
             self._recent[service][session] = (now_s, _hash_fraction(session))
 
-    def _notify_updates(self, trial: Canary) -> None:
-        if trial.unreported_moved or trial.unreported_pinned:
+    def _notify_updates(self, canary: Canary) -> None:
+        if canary.unreported_moved or canary.unreported_pinned:
             self._on_update()
 
-    def _is_within_exposure(self, trial: Canary, endpoints: list[Endpoint], now_s: float) -> bool:
-        at_s, is_within = self._exposure_checks.get(trial.order.service, (float("-inf"), False))
+    def _is_within_exposure(self, canary: Canary, endpoints: list[Endpoint], now_s: float) -> bool:
+        at_s, is_within = self._exposure_checks.get(canary.order.service, (float("-inf"), False))
         if now_s - at_s < UPDATE_INTERVAL_S:
             return is_within
-        target = trial.order.target
+        target = canary.order.target
         new = sum(self.running_calls(e.lifetime) for e in endpoints if e.entry.version == target)
         both = sum(self.running_calls(each.lifetime) for each in endpoints)
-        is_within = trial.is_within_exposure(now_s, new, both - new)
-        self._exposure_checks[trial.order.service] = (now_s, is_within)
+        is_within = canary.is_within_exposure(now_s, new, both - new)
+        self._exposure_checks[canary.order.service] = (now_s, is_within)
         return is_within
 
     def allowed_endpoints(
@@ -239,120 +243,126 @@
         endpoints: list[Endpoint],
         is_light: bool = False,
     ) -> list[Endpoint]:
-        """Return the endpoints that a request may go to now.
+        """Return the endpoints that a request may be sent to now.
 
         Parameters
         ----------
         service : str
         wants_target : bool or None
         endpoints : list of Endpoint
-            Those that take work and have not been tried.
+            The endpoints that accept work and have not been tried.
         is_light : bool
-            Whether the call reads little, so that many of them fit on one endpoint.
+            Whether the call needs little prefill, so that many of them fit on one endpoint.
         """
-        trial = self._canaries.get(service)
-        if trial is None:
+        canary = self._canaries.get(service)
+        if canary is None:
             return endpoints
-        target = trial.order.target
+        target = canary.order.target
         new = [each for each in endpoints if each.entry.version == target]
         old = [each for each in endpoints if each.entry.version != target]
-        match trial.state:
+        match canary.state:
             case RolloutState.ROLLED_BACK:
                 return old
             case RolloutState.COMPLETED:
                 return new or old
         if not wants_target:
             return old or new
-        if is_light and new and trial.is_load_testing(self._clock.seconds()):
+        if is_light and new and canary.is_load_testing(self._clock.seconds()):
             loaded = min(new, key=lambda each: _hash_fraction(each.lifetime))
-            limit = trial.limits.full_load * (loaded.entry.slots or 0)
+            limit = canary.limits.full_load * (loaded.entry.slots or 0)
             if self.running_calls(loaded.lifetime) < limit:
                 return [loaded]
-            trial.is_load_tested = limit > 0
+            canary.is_load_tested = limit > 0
         return new or old
 
     def record_answer(
         self, service: str, route: str, endpoint: Endpoint, verdict: AnswerVerdict
     ) -> None:
         """Count an answer."""
-        trial = self._canaries.get(service)
-        if trial is not None:
+        canary = self._canaries.get(service)
+        if canary is not None:
             is_target, now_s = self.is_target(service, endpoint), self._clock.seconds()
             is_paced = verdict in (AnswerVerdict.SLOW, AnswerVerdict.GOOD)
-            if is_paced and is_target and trial.is_affected_by_load_test(now_s):
-                verdict = AnswerVerdict.UNPACED  # its pace is that of the load of the proof
-            trial.count_answer(is_target, route, endpoint.lifetime, verdict, now_s)
+            if is_paced and is_target and canary.is_affected_by_load_test(now_s):
+                verdict = AnswerVerdict.UNPACED  # the load test determines the latency
+            canary.count_answer(is_target, route, endpoint.lifetime, verdict, now_s)
 
     def is_target(self, service: str, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is of the version that a roll-out brings in."""
-        trial = self._canaries.get(service)
-        return trial is not None and endpoint.entry.version == trial.order.target
+        """Whether an endpoint is of the new version of a roll-out."""
+        canary = self._canaries.get(service)
+        return canary is not None and endpoint.entry.version == canary.order.target
 
     def has_shifted_traffic(self, service: str, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is of a new version that gets all new work since lately."""
-        trial = self._canaries.get(service)
-        if trial is None or not self.is_target(service, endpoint):
+        """Whether an endpoint is of a new version under load test or with all new work."""
+        canary = self._canaries.get(service)
+        if canary is None or not self.is_target(service, endpoint):
             return False
         now_s = self._clock.seconds()
-        return trial.is_load_testing(now_s) or trial.takes_all_traffic(now_s)
+        return canary.is_load_testing(now_s) or canary.takes_all_traffic(now_s)
 
     # Peers
 
     def reports(self) -> list[CanaryReport]:
-        """Return what the other routers are told."""
+        """Return the roll-outs' part of the report to the peers."""
         now_s = self._clock.seconds()
         return [
             CanaryReport(
                 service,
-                trial.order.target,
-                now_s - trial.started_s,
-                trial.state,
+                canary.order.target,
+                now_s - canary.started_s,
+                canary.state,
                 [
                     _route_counts(is_target, route, each)
-                    for (is_target, route), each in trial.own_counts.items()
+                    for (is_target, route), each in canary.own_counts.items()
                 ],
-                trial.pinned_sessions(now_s)[:MAX_PINNED_SESSIONS],
-                trial.is_load_tested,
-                trial.moved_sessions(now_s)[-MAX_MOVED_SESSIONS:],
+                canary.pinned_sessions(now_s)[:MAX_PINNED_SESSIONS],
+                canary.is_load_tested,
+                canary.moved_sessions(now_s)[-MAX_MOVED_SESSIONS:],
                 self._states.confirmed_state(service),
             )
-            for service, trial in self._canaries.items()
+            for service, canary in self._canaries.items()
         ]
 
     def pop_updates(self) -> list[CanaryUpdate]:
-        """Return what others are to be told at once, and that was not."""
-        found = []
-        untold = self._states.pop_unsent()
-        for service, trial in self._canaries.items():
-            if service not in untold and not trial.unreported_moved and not trial.unreported_pinned:
+        """Return the updates that have not been sent to the peers yet, and mark them as sent."""
+        updates = []
+        unsent = self._states.pop_unsent()
+        for service, canary in self._canaries.items():
+            if (
+                service not in unsent
+                and not canary.unreported_moved
+                and not canary.unreported_pinned
+            ):
                 continue
-            kept = trial.unreported_pinned[-MAX_PINNED_SESSIONS:]
-            written = self._states.confirmed_state(service)
-            found.append(
-                CanaryUpdate(service, trial.order.target, trial.unreported_moved, kept, written)
+            pinned = canary.unreported_pinned[-MAX_PINNED_SESSIONS:]
+            stored_state = self._states.confirmed_state(service)
+            updates.append(
+                CanaryUpdate(
+                    service, canary.order.target, canary.unreported_moved, pinned, stored_state
+                )
             )
-            trial.unreported_moved, trial.unreported_pinned = [], []
-        return found
+            canary.unreported_moved, canary.unreported_pinned = [], []
+        return updates
 
     def apply_update(self, message: CanaryUpdate) -> None:
-        """Take note of sessions that another router keeps on a version, and of what stands."""
-        trial = self._canaries.get(message.service)
-        if trial is None or trial.order.target != message.target:
+        """Apply a peer's update: sessions pinned to a version and the state in the store."""
+        canary = self._canaries.get(message.service)
+        if canary is None or canary.order.target != message.target:
             return
         now_s = self._clock.seconds()
-        self._states.apply_peer_state(trial, message.stored_state)
+        self._states.apply_peer_state(canary, message.stored_state)
         for session in message.moved_to_new:
-            trial.note_moved_session(session, now_s, _hash_fraction(session))
+            canary.note_moved_session(session, now_s, _hash_fraction(session))
         for session in message.kept_on_old:
-            trial.note_old_session(session, now_s, _hash_fraction(session))
+            canary.note_old_session(session, now_s, _hash_fraction(session))
 
     def apply_reports(self, router: str, reports: list[CanaryReport]) -> None:
-        """Take what another incarnation of a router tells."""
+        """Apply the reports of another router, or of an earlier incarnation of one."""
         for report in reports:
-            trial = self._canaries.get(report.service)
-            if trial is None or trial.order.target != report.target:
+            canary = self._canaries.get(report.service)
+            if canary is None or canary.order.target != report.target:
                 continue
-            trial.started_s = min(trial.started_s, self._clock.seconds() - report.elapsed_s)
+            canary.started_s = min(canary.started_s, self._clock.seconds() - report.elapsed_s)
             counts = {
                 (each.is_target, each.route): AnswerCounts(
                     each.answers,
@@ -364,21 +374,21 @@
                 )
                 for each in report.counts
             }
-            trial.set_router_counts(router, counts)
-            trial.is_load_tested |= report.was_fully_loaded
+            canary.set_router_counts(router, counts)
+            canary.is_load_tested |= report.was_fully_loaded
             for session in report.kept_on_old:
-                trial.note_old_session(session, self._clock.seconds(), _hash_fraction(session))
+                canary.note_old_session(session, self._clock.seconds(), _hash_fraction(session))
             for session in report.moved_to_new:
-                trial.note_moved_session(session, self._clock.seconds(), _hash_fraction(session))
+                canary.note_moved_session(session, self._clock.seconds(), _hash_fraction(session))
             self._states.note_peer_follows(report.service)
-            self._states.apply_peer_state(trial, report.stored_state)
-            if report.state in FINAL_STATES and trial.state is RolloutState.IN_PROGRESS:
-                self._set_state(trial, RolloutState(report.state))
+            self._states.apply_peer_state(canary, report.stored_state)
+            if report.state in FINAL_STATES and canary.state is RolloutState.IN_PROGRESS:
+                self._set_state(canary, RolloutState(report.state))
 
 
-def _hash_fraction(session: str) -> float:
-    """Return a session's number from 0 to 1, the same at every router."""
-    return xxh3_64_intdigest(session.encode()) / HASH_RANGE
+def _hash_fraction(text: str) -> float:
+    """Return a number from 0 to 1 for a text, which is the same at every router."""
+    return xxh3_64_intdigest(text.encode()) / HASH_RANGE
 
 
 def _route_counts(is_target: bool, route: str, counts: AnswerCounts) -> RouteCounts:
--- a/umberhitch/tasks/direct/crash_guard.py
+++ b/umberhitch/tasks/direct/crash_guard.py
@@ -1,8 +1,8 @@
-"""Keeps requests that end the endpoints that run them from being run on and on.
+"""Stops requests that crash their endpoints from being resent over and over.
 
-Design note 14 weighs the ways. What is seen here: `crash_watch`. What follows, and when a request
-is run again: `core/direct/_crash_record`. How all routers come to know it: `crash_sharing`,
-`probing`.
+`crash_watch` detects the crashes. `core/direct/_crash_record` decides which requests are held and
+when a probe of one is due. `crash_sharing` and `probing` coordinate the routers. Design note 14
+compares the alternatives.
 """
 
 from collections.abc import Callable
@@ -19,23 +19,23 @@
 __all__ = ["CrashGuard"]
 
 UNREACHABLE_RETRY_S = 1.0
-"""Time to come back that is named where the endpoint of a probe is not there: others are found
-meanwhile, or those that ended are back after some seconds."""
+"""Retry time that a caller receives if the endpoint of its probe can't be reached. By then another
+endpoint is found; crashed endpoints are back after some seconds."""
 
 
 class CrashGuard:
-    """What a router's requests need of it: runs in, holds out.
+    """Records the runs of a router's requests and returns the holds on them.
 
     Parameters
     ----------
     name : str
-        Of this router.
+        Name of this router.
     clock : Clock
     endpoints : EndpointPort
     on_verdict : callable
-        Called with a run that broke off, and what that says of its version.
+        Called with a run whose reply broke off, and the verdict on its version.
     on_unreachable : callable
-        Called with an endpoint that did not answer, and whether its process has ended.
+        Called with an endpoint that did not answer, and whether its process has exited.
     limits : CrashLimits
     """
 
@@ -62,53 +62,54 @@
 
     # Requests
 
-    def hold(self, permit: AdmittedRequest) -> Hold | None:
-        """Return why a request is held, or None."""
-        return self.record.hold(permit.request_key, self._clock.seconds())
+    def hold(self, admitted: AdmittedRequest) -> Hold | None:
+        """Return the hold of a request, or None if the request isn't held."""
+        return self.record.hold(admitted.request_key, self._clock.seconds())
 
-    def is_held(self, permit: AdmittedRequest) -> bool:
-        """Whether a request is run by probes only."""
-        return self.record.is_held(permit.request_key)
+    def is_held(self, admitted: AdmittedRequest) -> bool:
+        """Whether a request may run only as a probe."""
+        return self.record.is_held(admitted.request_key)
 
-    def retry_after_s(self, permit: AdmittedRequest) -> float:
-        """Return when a request that is held may come again."""
-        hold = self.hold(permit)
+    def retry_after_s(self, admitted: AdmittedRequest) -> float:
+        """Return the seconds after which a held request may be retried, 0 if it isn't held."""
+        hold = self.hold(admitted)
         return 0.0 if hold is None else max(0.0, hold.until_s - self._clock.seconds())
 
     def request_probe(
         self,
-        permit: AdmittedRequest,
+        admitted: AdmittedRequest,
         endpoint: Endpoint,
         lease_s: float,
         on_decision: Callable[[float | None], None],
     ) -> None:
-        """Ask to run a request that is held; see `Probing.ask`.
+        """Request a probe of a held request; see `Probing.ask`.
 
-        It is seen first that the endpoint is there: a probe that reaches nobody is one of few.
+        The endpoint's listener is checked first, so that none of the few probes is spent on an
+        endpoint that can't be reached.
         """
         now_s = self._clock.seconds()
-        hold = self.record.hold(permit.request_key, now_s, service_version_of(endpoint))
+        hold = self.record.hold(admitted.request_key, now_s, service_version_of(endpoint))
         if hold is not None and hold.until_s > now_s:
             on_decision(hold.until_s - now_s)
             return
 
-        def take(found: ListenerStatus) -> None:
+        def on_status(found: ListenerStatus) -> None:
             if found is ListenerStatus.YES:
                 self.probing.request_probe(
-                    permit.request_key, service_version_of(endpoint), lease_s, on_decision
+                    admitted.request_key, service_version_of(endpoint), lease_s, on_decision
                 )
             else:
                 self._on_unreachable(endpoint, found is ListenerStatus.NO)
                 on_decision(UNREACHABLE_RETRY_S)
 
-        self._endpoints.check(endpoint.entry.address, take)
+        self._endpoints.check(endpoint.entry.address, on_status)
 
     # Calls
 
-    def start_run(self, permit: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
-        """Take note that a call is sent."""
-        run = Run(permit, endpoint, self._clock.seconds(), is_probe)
-        self._running.setdefault(permit.request_key, []).append(run)
+    def start_run(self, admitted: AdmittedRequest, endpoint: Endpoint, is_probe: bool) -> Run:
+        """Record that a call is sent."""
+        run = Run(admitted, endpoint, self._clock.seconds(), is_probe)
+        self._running.setdefault(admitted.request_key, []).append(run)
         return run
 
     def _remove_run(self, run: Run) -> None:
@@ -121,7 +122,7 @@
         return any(each is run for each in self._running.get(run.admitted.request_key, ()))
 
     def record_head(self, run: Run) -> None:
-        """Take note that a call has the head of its reply."""
+        """Record the head of a call's reply."""
         run.head_s = self._clock.seconds()
         self.watch.record_head(run)
         if self.record.is_held(run.admitted.request_key):
@@ -133,19 +134,19 @@
                 self._release_if_survived(run)
 
     def _release_if_survived(self, run: Run) -> None:
-        """Free a request once a run of it has gone on for long enough."""
+        """Release a request once one of its runs has lasted for the survival time."""
         assert run.head_s is not None
         key = run.admitted.request_key
-        left_s = run.head_s + self.record.survival_s(key) - self._clock.seconds()
+        remaining_s = run.head_s + self.record.survival_s(key) - self._clock.seconds()
 
-        def look() -> None:
+        def on_timeout() -> None:
             if self._is_running(run) and self.record.is_held(key):
                 self.sharing.record_run_end(key, self._clock.seconds())
 
-        self._clock.callLater(max(0.0, left_s), look)
+        self._clock.callLater(max(0.0, remaining_s), on_timeout)
 
     def record_completed(self, run: Run) -> None:
-        """Take note that a call has its whole reply: its endpoint lives after it."""
+        """Record a complete reply; for a suspect request, its endpoint is checked later."""
         self._remove_run(run)
         key, now_s = run.admitted.request_key, self._clock.seconds()
         if self.record.is_suspect(key):
@@ -154,23 +155,23 @@
             self.sharing.record_run_end(key, now_s)
 
     def record_not_run(self, run: Run) -> None:
-        """Take note that the endpoint has not run it."""
+        """Record that the endpoint has not run the call."""
         self._remove_run(run)
         self._record_no_result(run)
 
     def record_cancelled(self, run: Run) -> None:
-        """Take note that the call was given up here."""
+        """Record that this router cancelled the call."""
         self._remove_run(run)
         self.watch.record_cancelled(run)
         self._record_no_result(run)
 
     def record_broken(self, run: Run) -> None:
-        """Take note that the call broke, or was silent for too long."""
+        """Record that the call broke or timed out."""
         self._remove_run(run)
         self.watch.record_broken(run)
 
     def record_not_sent(self, run: Run) -> None:
-        """Take note that there was no connection for it."""
+        """Record that no connection was made for the call."""
         self._remove_run(run)
 
     def _record_no_result(self, run: Run) -> None:
--- a/umberhitch/tasks/direct/crash_sharing.py
+++ b/umberhitch/tasks/direct/crash_sharing.py
@@ -1,9 +1,9 @@
-"""Tells the other routers of crashes, so that all hold the same requests within some 0.05 s.
+"""Shares crashes among the routers, so that all hold the same requests within about 0.05 s.
 
-What is told is added to what is known, so that lost, repeated and late messages do no harm: news go
-to all at once, what is held is told again to a few peers as long as it is, and a router that is new
-gets all of it. A router that knows that a request has ended well since tells the one router that is
-asked for its probes, and that one tells all.
+A notice is merged into the crash record, so that lost, repeated and late messages do no harm. New
+notices go to all peers at once. The notices of held requests are resent to a few peers as long as
+the requests are held, and a new router gets all notices. A router that receives a crash of a
+request which has completed since notifies the request's arbiter, which notifies all peers.
 """
 
 from collections.abc import Callable
@@ -21,20 +21,22 @@
 log = getLogger(__name__)
 
 MAX_CRASHES_PER_MESSAGE = 512
-"""Crashes in one message, some 0.1 kB each: those of a third of a zone's running requests."""
+"""Maximum number of crashes in one message, of about 0.1 kB each. They suffice for a third of the
+requests that run in a zone."""
 MAX_RESENT_REQUESTS = 4
-"""Requests that are told again at a time, in turn: under 1 kB."""
+"""Number of requests whose notices are resent at a time, in turn; they take under 1 kB."""
 RESEND_S = 30.0
-"""So long a crash is told again, and a request that is held as long as it is held."""
+"""Seconds after a crash for which its notice is resent. Those of a held request are resent as long
+as the request is held."""
 
 
 class CrashSharing:
-    """One router's part in what all know of crashes.
+    """One router's exchange of crashes, completed runs and probes with its peers.
 
     Parameters
     ----------
     name : str
-        Of this router.
+        Name of this router.
     clock : Clock
     record : CrashRecord
 
@@ -43,13 +45,13 @@
     peers : callable
         Returns the names of the other routers.
     send : callable
-        Sends a message to one of them.
+        Sends a message to one of the other routers.
     on_news : callable
-        Called when there is something that the others are to be told at once.
+        Called when there is an update to send to the peers at once.
     on_held : callable
-        Called with the key of a request that is held from now on.
+        Called with the key of a request when it becomes held.
     on_decided : callable
-        Called with the key of a request that is held, probed or free by this router's decision.
+        Called with the key of a request that became held, probed or released, at its arbiter.
     """
 
     def __init__(self, name: str, clock: Clock, record: CrashRecord) -> None:
@@ -67,14 +69,14 @@
         self._next_index = 0
 
     def arbiter(self, key: str) -> str:
-        """Return the router that lets probes of a request through (rendezvous hash)."""
+        """Return the router that admits probes of a request, by rendezvous hash."""
         names = [self._name, *self.peers()]
         return max(names, key=lambda name: xxh3_64_intdigest(f"{key}|{name}".encode()))
 
-    # Own news
+    # Events at this router
 
     def record_crash(self, key: str, crash: Crash) -> None:
-        """Take note of a crash that this router has seen."""
+        """Record a crash that this router has detected."""
         was_held = self.record.is_held(key)
         if not self.record.note_crash(key, crash):
             return
@@ -83,7 +85,7 @@
         self.on_update()
 
     def record_run_end(self, key: str, at_s: float) -> None:
-        """Take note that a run of a request has ended here, or gone on for long enough."""
+        """Record that a run of a request completed here, or lasted for the survival time."""
         was_held = self.record.is_held(key)
         if self.record.note_run_end(key, at_s):
             self._queue_run_end(key, was_held)
@@ -98,34 +100,34 @@
         self._pending_run_ends.add(key)
         self.on_update()
 
-    def record_probe(self, key: str, place: str, probes: int, lease_s: float) -> None:
-        """Take note that this router has let a probe through."""
+    def record_probe(self, key: str, service_version: str, probes: int, lease_s: float) -> None:
+        """Record that this router has admitted a probe."""
         now_s = self._clock.seconds()
-        if self.record.note_probe(key, place, probes, now_s, now_s + lease_s):
-            self._pending_probes[key] = ProbeNotice(key, place, probes, 0.0, lease_s)
+        if self.record.note_probe(key, service_version, probes, now_s, now_s + lease_s):
+            self._pending_probes[key] = ProbeNotice(key, service_version, probes, 0.0, lease_s)
             self._notify_if_arbiter(key)
             self.on_update()
 
     def record_probe_end(self, key: str) -> None:
-        """Take note that a probe that ran here has ended and shows nothing."""
-        probed = self.record.last_probe(key)
-        if self.record.note_probe_end(key) and probed is not None:
-            place, probes, _ = probed
-            self._pending_probes[key] = ProbeNotice(key, place, probes, 0.0, 0.0)
+        """Record that a probe that ran here has ended without a result."""
+        last_probe = self.record.last_probe(key)
+        if self.record.note_probe_end(key) and last_probe is not None:
+            service_version, probes, _ = last_probe
+            self._pending_probes[key] = ProbeNotice(key, service_version, probes, 0.0, 0.0)
             self.on_update()
 
     def release(self, key: str) -> bool:
-        """Let a request go at an operator's word; return whether it was held or suspect."""
+        """Release a request on an operator's order; return whether it was held or suspect."""
         is_known = self.record.is_suspect(key)
         self.record_run_end(key, self._clock.seconds())
         if is_known:
             log.info("request let go", extra={"key": key, "reason": "operator"})
         return is_known
 
-    # Telling
+    # Updates to the peers
 
     def pop_updates(self) -> list[CrashUpdate]:
-        """Return what the others are to be told at once, and were not."""
+        """Return the updates that have not been sent to the peers yet, and mark them as sent."""
         crashes = [
             self._crash_notice(key, crash)
             for key, crash in self._pending_crashes[:MAX_CRASHES_PER_MESSAGE]
@@ -139,12 +141,12 @@
         return [CrashUpdate(crashes, ends, probes)] if crashes or ends or probes else []
 
     def all_updates(self) -> list[CrashUpdate]:
-        """Return what a router is told that is new here, the strongest evidence first."""
+        """Return all notices for a new router, those of the requests with most crashes first."""
         keys = sorted(self.record.suspects(), key=lambda each: -len(self.record.crashes(each)))
         return self._make_updates(keys)
 
     def updates_to_resend(self) -> list[CrashUpdate]:
-        """Return what is told again: some of what is held or recent, in turn."""
+        """Return the notices to resend: in turn, some of the held requests and recent crashes."""
         now_s = self._clock.seconds()
         if not len(self.record):
             return []
@@ -161,72 +163,75 @@
         )
 
     def updates_for(self, key: str) -> list[CrashUpdate]:
-        """Return what is held against one request."""
+        """Return the notices about one request."""
         return self._make_updates([key])
 
     def _make_updates(self, keys: list[str]) -> list[CrashUpdate]:
         now_s = self._clock.seconds()
-        enough = self.record.limits.crashes
+        max_crashes = self.record.limits.crashes
         crashes = [
             self._crash_notice(key, each)
             for key in keys
-            for each in self.record.crashes(key)[:enough]
+            for each in self.record.crashes(key)[:max_crashes]
         ]
         probes = []
         for key in keys:
-            probed = self.record.last_probe(key)
-            if probed is not None:
-                place, number, at_s = probed
-                probes.append(ProbeNotice(key, place, number, now_s - at_s, 0.0))
+            last_probe = self.record.last_probe(key)
+            if last_probe is not None:
+                service_version, probe_count, at_s = last_probe
+                probes.append(ProbeNotice(key, service_version, probe_count, now_s - at_s, 0.0))
         return [CrashUpdate(crashes[:MAX_CRASHES_PER_MESSAGE], [], probes)] if crashes else []
 
     def _crash_notice(self, key: str, crash: Crash) -> CrashNotice:
         now_s = self._clock.seconds()
-        began_age_s = round(now_s - crash.started_s, 4)
-        ended_age_s = round(now_s - crash.crashed_s, 4)
-        return CrashNotice(key, crash.lifetime, crash.service_version, began_age_s, ended_age_s)
+        started_age_s = round(now_s - crash.started_s, 4)
+        crash_age_s = round(now_s - crash.crashed_s, 4)
+        return CrashNotice(key, crash.lifetime, crash.service_version, started_age_s, crash_age_s)
 
     def _run_end_notice(self, key: str) -> RunEndNotice:
         now_s = self._clock.seconds()
-        ended_s = self.record.last_run_end_s(key)
-        return RunEndNotice(key, 0.0 if ended_s is None else round(now_s - ended_s, 4))
+        completed_s = self.record.last_run_end_s(key)
+        return RunEndNotice(key, 0.0 if completed_s is None else round(now_s - completed_s, 4))
 
-    # Others' news
+    # Updates of the peers
 
     def receive(self, message: CrashUpdate) -> None:
-        """Take what another router tells."""
+        """Apply an update of another router."""
         now_s = self._clock.seconds()
         for end in message.run_ends:
             self._apply_run_end(end, now_s)
-        for told in message.crashes:
-            self._apply_crash(told, now_s)
+        for notice in message.crashes:
+            self._apply_crash(notice, now_s)
         for probe in message.probes:
             self._apply_probe(probe, now_s)
 
     def _apply_run_end(self, end: RunEndNotice, now_s: float) -> None:
         was_held = self.record.is_held(end.key)
-        is_freed = self.record.note_run_end(end.key, now_s - end.age_s)
-        if is_freed and self.arbiter(end.key) == self._name:
+        is_cleared = self.record.note_run_end(end.key, now_s - end.age_s)
+        if is_cleared and self.arbiter(end.key) == self._name:
             self._queue_run_end(end.key, was_held)
-        elif is_freed and was_held:
+        elif is_cleared and was_held:
             log.info("request held no more", extra={"key": end.key, "reason": "told"})
 
-    def _apply_crash(self, told: CrashNotice, now_s: float) -> None:
+    def _apply_crash(self, notice: CrashNotice, now_s: float) -> None:
         crash = Crash(
-            told.lifetime,
-            told.service_version,
-            now_s - told.started_age_s,
-            now_s - told.crash_age_s,
+            notice.lifetime,
+            notice.service_version,
+            now_s - notice.started_age_s,
+            now_s - notice.crash_age_s,
         )
-        if self.record.is_refuted(told.key, crash):
-            self._send_refutation(told.key)
+        if self.record.is_refuted(notice.key, crash):
+            self._send_refutation(notice.key)
             return
-        was_held = self.record.is_held(told.key)
-        self.record.note_crash(told.key, crash)
-        self._check_held(told.key, was_held, "told")
+        was_held = self.record.is_held(notice.key)
+        self.record.note_crash(notice.key, crash)
+        self._check_held(notice.key, was_held, "told")
 
     def _send_refutation(self, key: str) -> None:
-        """Tell that the request has ended well since, without a message from each to each."""
+        """Notify the peers, through the arbiter, that the request has completed since.
+
+        So not every router sends a message to every other one.
+        """
         arbiter = self.arbiter(key)
         if arbiter == self._name:
             self._pending_run_ends.add(key)
--- a/umberhitch/tasks/direct/crash_watch.py
+++ b/umberhitch/tasks/direct/crash_watch.py
@@ -1,10 +1,10 @@
-"""Sees when an endpoint ends while requests are under way there, and which ones.
+"""Detects crashes of endpoints and the requests that were running there.
 
-A call that breaks says only that its connection ended. So the endpoint is tried once more at once,
-without a request: where nothing listens any more its process has ended, and every call that broke
-there was under way when it did. Where it still listens, it broke off a reply, which speaks against
-its version. Where nothing answers, it is taken for ended; a request that had no part in it is freed
-by its next run.
+A broken call shows only that its connection was lost. So the endpoint's listener is checked at
+once, without a request. If nothing listens, the process has exited, and every call that broke there
+was running when the process did. If the endpoint still listens, it broke off a reply, which counts
+against its version. If the check gets no answer, the endpoint is assumed to have crashed; a request
+that did not cause this is released by its next run.
 """
 
 from collections import OrderedDict
@@ -22,34 +22,36 @@
 log = getLogger(__name__)
 
 FINISHED_CALL_KEPT_S = 2.0
-"""So long after its call broke, or was given up here, a request counts as under way when its
-endpoint ends: the way to the end of a process through a proof by others takes some ms, by the
-registry up to 1.5 s."""
+"""Seconds after its call broke or was cancelled for which a request counts as running on its
+endpoint. An exit is known within some milliseconds if a listener check detects it, and within 1.5 s
+if the registry reports it."""
 MIN_RUN_S = 0.002
-"""A call that was sent less long before its endpoint ended is not blamed where an older one was
-there: the way to it takes half of that. Where all endpoints end together, calls go from one to the
-next in such times. Alone, it is blamed: an endpoint may end by the first byte it reads."""
+"""Minimum time in seconds from the start of a call to the crash for the crash to count against its
+request, if an older call was running too. The way to the endpoint takes half of this time, and
+where all endpoints crash together, calls are retried from one to the next at such intervals. A
+crash counts against a call that was alone, since the first byte read may crash an endpoint."""
 SURVIVAL_CHECK_S = 1.0
-"""An endpoint that lives so long after the whole reply to a request is not ended by it: one that
-goes on with a stream after another's crash may be done before it ends."""
+"""Seconds after a complete reply at which the endpoint must still be alive for the run to count as
+completed. An endpoint that resumes a stream after another one's crash may complete the reply before
+it crashes too."""
 MAX_EXITED_LIFETIMES = 512
-"""Lifetimes that are remembered as ended; calls to them break within seconds."""
+"""Maximum number of exited lifetimes that are remembered; calls to them break within seconds."""
 
 
 @dataclass(slots=True)
 class _FinishedCall:
-    """A call that is over without a whole reply."""
+    """A call that has finished, whose endpoint may still turn out to have crashed under it."""
 
     run: Run
     finished_s: float
     is_exempt: bool
-    """Whether it was given up here."""
+    """Whether the call doesn't count against the version: cancelled here, or reply complete."""
     is_counted: bool = False
-    """Whether it was counted for the version."""
+    """Whether the call has been counted against the version."""
 
 
 class CrashWatch:
-    """Owns the calls that broke lately, by the lifetime of their endpoint.
+    """The calls that finished lately, by the lifetime of their endpoint.
 
     Parameters
     ----------
@@ -57,14 +59,14 @@
     endpoints : EndpointPort
     record : CrashRecord
     on_crash : callable
-        Called with a request's key and the crash under it.
+        Called with the key of a request and a crash that counts against it.
     on_verdict : callable
-        Called with a run that broke off, and what that says of its version.
+        Called with a run whose reply broke off, and the verdict on its version.
 
     Attributes
     ----------
     crashes : int
-        Endpoints that ended with calls under way, since the start.
+        Number of endpoints that crashed with calls running, since the start.
     """
 
     def __init__(
@@ -86,50 +88,50 @@
         self._checking: set[str] = set()
 
     def record_head(self, run: Run) -> None:
-        """Take note that an endpoint has answered a call: it lived when that was sent."""
+        """Record that an endpoint answered a call, so that it was alive when the call was sent."""
         lifetime = run.endpoint.lifetime
         self._exited.pop(lifetime, None)
-        broken = self._finished.get(lifetime)
-        if broken:
-            self._set_finished(lifetime, [each for each in broken if each.finished_s >= run.sent_s])
+        calls = self._finished.get(lifetime)
+        if calls:
+            self._set_finished(lifetime, [each for each in calls if each.finished_s >= run.sent_s])
 
     def record_cancelled(self, run: Run) -> None:
-        """Take note that a call was given up here; its endpoint may end by it all the same."""
+        """Record that this router cancelled a call, which may still crash its endpoint."""
         self._add(_FinishedCall(run, self._clock.seconds(), True))
 
     def watch_completed(self, run: Run, on_alive: Callable[[], None]) -> None:
-        """Call ``on_alive`` once the endpoint of a whole reply is seen to have outlived it."""
+        """Call ``on_alive`` if the endpoint is still alive some time after its complete reply."""
         self._add(_FinishedCall(run, self._clock.seconds(), True))
 
-        def take(found: ListenerStatus) -> None:
+        def on_status(found: ListenerStatus) -> None:
             if found is ListenerStatus.YES and run.endpoint.lifetime not in self._exited:
                 on_alive()
             elif found is ListenerStatus.NO:
                 self.record_exit(run.endpoint)
 
         address = run.endpoint.entry.address
-        self._clock.callLater(SURVIVAL_CHECK_S, self._endpoints.check, address, take)
+        self._clock.callLater(SURVIVAL_CHECK_S, self._endpoints.check, address, on_status)
 
     def record_broken(self, run: Run) -> None:
-        """Take note that a call broke, and find out whether its endpoint ended."""
-        broken = _FinishedCall(run, self._clock.seconds(), False)
+        """Record that a call broke, and check whether its endpoint has crashed."""
+        call = _FinishedCall(run, self._clock.seconds(), False)
         if run.endpoint.lifetime in self._exited:
-            self._report_crash(broken)
+            self._report_crash(call)
             return
-        self._add(broken)
+        self._add(call)
         self._check_listener(run.endpoint)
 
-    def _add(self, broken: _FinishedCall) -> None:
-        lifetime = broken.run.endpoint.lifetime
+    def _add(self, call: _FinishedCall) -> None:
+        lifetime = call.run.endpoint.lifetime
         others = self._finished.get(lifetime, [])
-        oldest_s = broken.finished_s - FINISHED_CALL_KEPT_S
+        oldest_s = call.finished_s - FINISHED_CALL_KEPT_S
         self._set_finished(
-            lifetime, [*(each for each in others if each.finished_s > oldest_s), broken]
+            lifetime, [*(each for each in others if each.finished_s > oldest_s), call]
         )
 
-    def _set_finished(self, lifetime: str, broken: list[_FinishedCall]) -> None:
-        if broken:
-            self._finished[lifetime] = broken
+    def _set_finished(self, lifetime: str, calls: list[_FinishedCall]) -> None:
+        if calls:
+            self._finished[lifetime] = calls
         else:
             self._finished.pop(lifetime, None)
 
@@ -149,14 +151,14 @@
             self.record_exit(endpoint)
 
     def _count_against_version(self, lifetime: str) -> None:
-        """Count what broke for the version: its endpoint goes on, or cannot be reached."""
+        """Count broken calls against the version, as the endpoint is alive or can't be reached."""
         for each in self._finished.get(lifetime, []):
             if not each.is_exempt and not each.is_counted:
                 each.is_counted = True
                 self._on_verdict(each.run, AnswerVerdict.BROKEN)
 
     def record_exit(self, endpoint: Endpoint) -> None:
-        """Take note that a lifetime of an endpoint has ended."""
+        """Record that the process of an endpoint has exited."""
         lifetime = endpoint.lifetime
         if lifetime in self._exited:
             return
@@ -164,44 +166,44 @@
         if len(self._exited) > MAX_EXITED_LIFETIMES:
             self._exited.popitem(last=False)
         oldest_s = self._clock.seconds() - FINISHED_CALL_KEPT_S
-        broken = [each for each in self._finished.pop(lifetime, []) if each.finished_s > oldest_s]
-        if endpoint.is_draining or not broken:
+        calls = [each for each in self._finished.pop(lifetime, []) if each.finished_s > oldest_s]
+        if endpoint.is_draining or not calls:
             return
         self.crashes += 1
         log.info(
             "endpoint ended",
             extra={
                 "endpoint": lifetime,
-                "under_way": len(broken),
-                "keys": [each.run.admitted.request_key for each in broken[:8]],
-                "oldest_run_s": round(max(each.finished_s - each.run.sent_s for each in broken), 3),
+                "under_way": len(calls),
+                "keys": [each.run.admitted.request_key for each in calls[:8]],
+                "oldest_run_s": round(max(each.finished_s - each.run.sent_s for each in calls), 3),
             },
         )
-        self._count_crash_against_version(broken)
-        has_older = any(_may_have_run(each) for each in broken)
-        for each in broken:
+        self._count_crash_against_version(calls)
+        has_older = any(_may_have_run(each) for each in calls)
+        for each in calls:
             if _may_have_run(each) or not has_older:
                 self._report_crash(each)
 
-    def _count_crash_against_version(self, broken: list[_FinishedCall]) -> None:
-        """Count the end of an endpoint as one answer of its version, not as one for each call.
+    def _count_crash_against_version(self, calls: list[_FinishedCall]) -> None:
+        """Count a crash as one broken answer of the version, not as one for each call.
 
-        Not even that where a request was under way beneath which others have ended: then it is
-        that, and the version may be as good as any.
+        The crash isn't counted if a suspect request was running: then the request probably caused
+        it, and the version may be good.
         """
-        if any(self._record.is_suspect(each.run.admitted.request_key) for each in broken):
+        if any(self._record.is_suspect(each.run.admitted.request_key) for each in calls):
             return
-        for each in broken:
+        for each in calls:
             if not each.is_exempt and not each.is_counted:
                 self._on_verdict(each.run, AnswerVerdict.BROKEN)
                 return
 
-    def _report_crash(self, broken: _FinishedCall) -> None:
-        run = broken.run
-        crash = Crash(run.endpoint.lifetime, run.service_version, run.sent_s, broken.finished_s)
+    def _report_crash(self, call: _FinishedCall) -> None:
+        run = call.run
+        crash = Crash(run.endpoint.lifetime, run.service_version, run.sent_s, call.finished_s)
         self._on_crash(run.admitted.request_key, crash)
 
 
-def _may_have_run(broken: _FinishedCall) -> bool:
-    """Whether a call can have begun before its endpoint ended."""
-    return broken.finished_s >= broken.run.sent_s + MIN_RUN_S
+def _may_have_run(call: _FinishedCall) -> bool:
+    """Whether the endpoint may have started the call before the crash."""
+    return call.finished_s >= call.run.sent_s + MIN_RUN_S
--- a/umberhitch/tasks/direct/tests/test_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the direct path against a simple oracle: what callers and endpoints saw."""
+"""Stateful fuzzing of the direct path, checked against the calls and replies that were seen."""
 
 from dataclasses import dataclass
 
@@ -23,7 +23,7 @@
 REVOKE_S = 5.0
 DRAIN_S = 2.0
 RETRY_S = 1.0
-"""A router that finds the store again needs a moment; the rules give it longer."""
+"""Seconds that a router needs to reconnect to the store; the platform's rules allow more."""
 TIMEOUT_S = 5.0
 WHOLE = b"".join(b"id: %d\ndata: e%d\n\n" % (each, each) for each in range(1, EVENTS + 1))
 FAULTS = {
@@ -41,17 +41,17 @@
 
 
 @dataclass
-class Asked:
-    """A request, and what the oracle needs of it."""
+class SentRequest:
+    """A request, with the data that the invariants need."""
 
-    ask: DirectAsk
+    req: DirectAsk
     route: str
     key: str
     at_s: float
 
 
 class DirectMachine(RuleBasedStateMachine):
-    """Two routers, three endpoints, a store; faults of all of them at any moment."""
+    """Two routers, three endpoints and a store, any of which may fail at any time."""
 
     @initialize()
     def begin(self) -> None:
@@ -60,17 +60,17 @@
         for name in ENDPOINTS:
             self.world.add_endpoint(name).reply = FAULTS["good"]
         self.keys = {"k1", "k2"}
-        self.gone_s: dict[str, float] = {}
+        self.revoked_s: dict[str, float] = {}
         self.number = 1
         self.publish()
         for name in ROUTERS:
             self.world.add_router(name)
         self.world.run(0.2)
-        self.asked: list[Asked] = []
+        self.sent: list[SentRequest] = []
         self.draining_s: dict[str, float] = {}
 
     def publish(self) -> None:
-        """Write a document with the present keys."""
+        """Write a document with the current keys."""
         routes = (
             make_route("look"),
             make_route("order", RouteKind.NON_IDEMPOTENT, max_attempts=3),
@@ -91,8 +91,8 @@
     )
     def send(self, router: str, route: str, key: str) -> None:
         """Send a request."""
-        ask = self.world.ask(self.world.routers[router], f"/{route}/x", key=key)
-        self.asked.append(Asked(ask, route, key, self.now_s))
+        req = self.world.ask(self.world.routers[router], f"/{route}/x", key=key)
+        self.sent.append(SentRequest(req, route, key, self.now_s))
 
     @rule(
         name=st.sampled_from(ENDPOINTS),
@@ -100,7 +100,7 @@
         is_everywhere=st.booleans(),
     )
     def change_endpoint(self, name: str, fault: str, is_everywhere: bool) -> None:
-        """Let an endpoint, or all of them, answer in another way."""
+        """Change how one endpoint, or each of them, answers."""
         for each in ENDPOINTS if is_everywhere else (name,):
             self.world.endpoints.by_address[f"@{each}"].reply = FAULTS[fault]
 
@@ -110,14 +110,14 @@
         key=st.sampled_from(("k1", "k2")),
     )
     def send_into(self, route: str, fault: str, key: str) -> None:
-        """Send a request while every endpoint answers in one way, and let it go on a little."""
+        """Send a request while every endpoint answers in one way, and run for a short time."""
         self.change_endpoint(ENDPOINTS[0], fault, True)
         self.send("r1", route, key)
         self.world.run(0.5)
 
     @rule(route=st.sampled_from(("look", "order", "draft")))
     def calm_down(self, route: str) -> None:
-        """Mend store and processes, wait until all is known, and send to each router."""
+        """Restore store and processes, wait until all changes are known, and send requests."""
         self.hold_link(False)
         for router in ROUTERS:
             self.cut_store(router, False)
@@ -130,7 +130,7 @@
 
     @rule(name=st.sampled_from(ENDPOINTS), is_draining=st.booleans())
     def register(self, name: str, is_draining: bool) -> None:
-        """Register a state."""
+        """Register an endpoint as ready or draining."""
         state = EndpointState.DRAINING if is_draining else EndpointState.READY
         self.world.registry.put(name, make_endpoint_entry(name, state=state))
         if is_draining:
@@ -140,15 +140,15 @@
 
     @rule(key=st.sampled_from(("k1", "k2")))
     def revoke(self, key: str) -> None:
-        """Take a key away."""
+        """Revoke a key."""
         self.keys.discard(key)
-        self.gone_s.setdefault(key, self.now_s)
+        self.revoked_s.setdefault(key, self.now_s)
         self.number += 1
         self.publish()
 
     @rule(router=st.sampled_from(ROUTERS), key=st.sampled_from(("k1", "k2")))
     def use_late(self, router: str, key: str) -> None:
-        """Take a key away behind the back of a router, and use it there after the bound."""
+        """Revoke a key while a router is cut off from the store; use it there after the bound."""
         self.cut_store(router, True)
         self.revoke(key)
         self.world.run(REVOKE_S + 0.1)
@@ -157,14 +157,14 @@
 
     @rule(router=st.sampled_from(ROUTERS), is_down=st.booleans())
     def cut_store(self, router: str, is_down: bool) -> None:
-        """Cut a router off from the store, or mend that."""
+        """Cut a router off from the store, or reconnect it."""
         if is_down != self.world.routers[router].faults.is_down:
             self.draining_s = dict.fromkeys(self.draining_s, self.now_s)
         self.world.routers[router].faults.is_down = is_down
 
     @rule(router=st.sampled_from(ROUTERS), is_paused=st.booleans())
     def freeze(self, router: str, is_paused: bool) -> None:
-        """Freeze a router's process, or wake it: what is due comes first, then what was sent."""
+        """Freeze a router's process, or resume it: first its due timers, then its messages."""
         clock, link = self.world.routers[router].clock, self.world.network.links[router]
         if clock.is_paused and not is_paused:
             clock.resume()
@@ -174,7 +174,7 @@
 
     @rule(is_held=st.booleans())
     def hold_link(self, is_held: bool) -> None:
-        """Hold up what routers say to each other, or deliver it all."""
+        """Delay the messages between routers, or deliver all of them."""
         if is_held:
             self.world.network.hold_where(lambda sender, receiver, message: True)
         else:
@@ -182,7 +182,7 @@
 
     @rule(key=st.sampled_from(("k1", "k2")))
     def use_late_everywhere(self, key: str) -> None:
-        """Take a key away while no router reaches the store, and use it after the bound."""
+        """Revoke a key while no router reaches the store, and use it after the bound."""
         for router in ROUTERS:
             self.cut_store(router, True)
         self.revoke(key)
@@ -193,16 +193,16 @@
 
     @rule(index=st.integers(0, 5))
     def leave(self, index: int) -> None:
-        """Let a caller leave."""
-        open_asks = [each for each in self.asked if not each.ask.reply.is_over]
-        if open_asks:
-            left = open_asks[index % len(open_asks)]
-            left.ask.leave()
-            self.asked.remove(left)
+        """Let a caller disconnect."""
+        open_reqs = [each for each in self.sent if not each.req.reply.is_over]
+        if open_reqs:
+            cancelled = open_reqs[index % len(open_reqs)]
+            cancelled.req.leave()
+            self.sent.remove(cancelled)
 
     @rule()
     def forget_history(self) -> None:
-        """Let the store forget its history."""
+        """Drop the history of the store."""
         self.world.operator.forget_history()
         self.world.registry.forget_history()
 
@@ -212,24 +212,24 @@
         self.world.run(seconds)
 
     def runs(self, call_id: str) -> int:
-        """Return how often a request ran."""
+        """Return how many times a request ran."""
         return sum(each.ran.count(call_id) for each in self.world.endpoints.by_address.values())
 
     @invariant()
     def no_request_runs_twice_that_must_not(self) -> None:
-        """TWICE, and a refusal that says "not run" is true."""
-        for each in self.asked:
-            count = self.runs(each.ask.call_id)
+        """Property TWICE; also, a refusal that states that the request did not run is true."""
+        for each in self.sent:
+            count = self.runs(each.req.call_id)
             if each.route == "order":
                 assert count <= 1, each
-            if each.ask.status == 503:
+            if each.req.status == 503:
                 assert count == 0, each
 
     @invariant()
     def answers_are_whole_or_do_not_look_so(self) -> None:
-        """MIXED and ORDER."""
-        for each in self.asked:
-            reply = each.ask.reply
+        """Properties MIXED and ORDER."""
+        for each in self.sent:
+            reply = each.req.reply
             if reply.status == 200 and reply.is_complete:
                 assert reply.body == WHOLE, each
             if reply.status == 200:
@@ -237,32 +237,32 @@
 
     @invariant()
     def keys_that_were_taken_away_have_no_effect(self) -> None:
-        """A request sent later than the bound does not run."""
-        for each in self.asked:
-            gone_s = self.gone_s.get(each.key)
-            if gone_s is not None and each.at_s > gone_s + REVOKE_S:
-                assert self.runs(each.ask.call_id) == 0, each
+        """A request that is sent after the bound does not run."""
+        for each in self.sent:
+            revoked_s = self.revoked_s.get(each.key)
+            if revoked_s is not None and each.at_s > revoked_s + REVOKE_S:
+                assert self.runs(each.req.call_id) == 0, each
 
     @invariant()
     def endpoints_that_drain_get_nothing_new(self) -> None:
-        """DRAIN, by routers that reach the store and run."""
+        """Property DRAIN, for running routers that reach the store."""
         routers = self.world.routers.values()
         if any(each.faults.is_down or each.clock.is_paused for each in routers):
             self.draining_s = dict.fromkeys(self.draining_s, self.now_s)
             return
-        for name, since_s in self.draining_s.items():
+        for name, draining_since_s in self.draining_s.items():
             calls = self.world.endpoints.by_address[f"@{name}"].called_s
-            assert not [at_s for at_s in calls if at_s > since_s + DRAIN_S + RETRY_S], name
+            assert not [at_s for at_s in calls if at_s > draining_since_s + DRAIN_S + RETRY_S], name
 
     def teardown(self) -> None:
-        """Let everything end: every request has its final answer in time, and nothing is held."""
-        if not hasattr(self, "asked"):
+        """Run to the end: each request has its final answer in time, and no call is left."""
+        if not hasattr(self, "sent"):
             return
         for router in ROUTERS:
             self.freeze(router, False)
         self.world.run(TIMEOUT_S + 0.5)
-        for each in self.asked:
-            assert each.ask.reply.is_over, each
+        for each in self.sent:
+            assert each.req.reply.is_over, each
         for router in self.world.routers.values():
             assert not router.gateway.running_requests
             assert router.gateway.placement.own_load() == {}
--- a/umberhitch/tasks/direct/tests/test_limit_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_limit_mutations.py
@@ -1,4 +1,4 @@
-"""Each part of what keeps a named limit is missed where it is switched off."""
+"""Each mechanism that keeps an advertised limit is needed: without it, a test fails."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -11,87 +11,85 @@
 from umberhitch.tasks.direct.endpoint_selector import EndpointSelector
 from umberhitch.tasks.direct.send_gate import SendGate
 from umberhitch.tasks.direct.signal_sharing import SignalSharing
-from umberhitch.tasks.direct.tests import test_advertised_limits as limits
+from umberhitch.tasks.direct.tests import test_advertised_limits as advertised
 from umberhitch.testing._mutations import Mutation, assert_missed
 
 Test = Callable[[], None]
 
 
-def nothing_is_heard(patch: pytest.MonkeyPatch) -> Test:
+def no_limit_is_received(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SendGate, "apply_head", lambda self, endpoint, head: None)
-    return (
-        lambda: limits.test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers_together(
-            1.6
-        )
+    return lambda: advertised.test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers(
+        1.6
     )
 
 
-def the_choice_ignores_it(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, found: found)
-    return lambda: limits.test_no_kind_of_send_exceeds_an_advertised_limit(limits.zones.KINDS[0])
+def the_selection_ignores_the_limit(patch: pytest.MonkeyPatch) -> Test:
+    patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, candidates: candidates)
+    return lambda: advertised.test_no_kind_of_send_exceeds_an_advertised_limit(
+        advertised.zones.KINDS[0]
+    )
 
 
-def nobody_counts(patch: pytest.MonkeyPatch) -> Test:
+def no_call_is_counted(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "note_sent", lambda self, lifetime, now_s: None)
-    return (
-        lambda: limits.test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers_together(
-            1.6
-        )
+    return lambda: advertised.test_endpoints_that_advertise_a_limit_get_no_more_from_four_routers(
+        1.6
     )
 
 
-def every_router_has_the_first_share(patch: pytest.MonkeyPatch) -> Test:
+def every_router_uses_the_first_quota(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "_rank", lambda self, lifetime: 0)
-    return limits.test_routers_cut_off_from_each_other_keep_the_limit_together
+    return advertised.test_routers_cut_off_from_each_other_keep_the_limit_together
 
 
-def nobody_is_told(patch: pytest.MonkeyPatch) -> Test:
+def no_update_is_sent(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SignalSharing, "_make_updates", lambda self, lifetimes: [])
-    return limits.test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds
+    return advertised.test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds
 
 
-def nobody_is_told_again(patch: pytest.MonkeyPatch) -> Test:
+def no_update_is_resent(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
-    return limits.test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds
+    return advertised.test_peers_learn_the_limit_at_once_or_after_a_lost_message_within_seconds
 
 
-def new_routers_are_not_told(patch: pytest.MonkeyPatch) -> Test:
+def new_routers_receive_no_updates(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SignalSharing, "all_updates", lambda self: [])
     patch.setattr(SignalSharing, "updates_to_resend", lambda self: [])
-    return limits.test_a_router_that_starts_learns_the_limit
+    return advertised.test_a_router_that_starts_learns_the_limit
 
 
-def it_never_ends(patch: pytest.MonkeyPatch) -> Test:
+def a_limit_never_ends(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(AdvertisedLimits, "_end", lambda self, lifetime, at_s: None)
-    return limits.test_the_limit_ends_when_no_longer_advertised
+    return advertised.test_the_limit_ends_when_no_longer_advertised
 
 
-def peers_do_not_end_it(patch: pytest.MonkeyPatch) -> Test:
+def peers_do_not_end_a_limit(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(
         AdvertisedLimits, "apply_end_notice", lambda self, name, age_s, now_s: LimitChange.NONE
     )
-    return limits.test_the_limit_ends_when_no_longer_advertised
+    return advertised.test_the_limit_ends_when_no_longer_advertised
 
 
-def it_outlives_its_endpoint(patch: pytest.MonkeyPatch) -> Test:
+def a_limit_outlives_its_endpoint(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(AdvertisedLimits, "forget", lambda self, known: None)
-    return limits.test_a_new_lifetime_starts_without_a_limit
+    return advertised.test_a_new_lifetime_starts_without_a_limit
 
 
-def an_odd_word_ends_it(patch: pytest.MonkeyPatch) -> Test:
+def a_malformed_limit_ends_it(patch: pytest.MonkeyPatch) -> Test:
     heard = SendGate.apply_head
 
-    def hear_all(self: SendGate, endpoint: object, head: object) -> None:
-        clear = replace(head.signals.limit, is_malformed=False)
-        heard(self, endpoint, replace(head, signals=replace(head.signals, limit=clear)))
+    def apply_all(self: SendGate, endpoint: object, head: object) -> None:
+        well_formed = replace(head.signals.limit, is_malformed=False)
+        heard(self, endpoint, replace(head, signals=replace(head.signals, limit=well_formed)))
 
-    patch.setattr(SendGate, "apply_head", hear_all)
-    return limits.test_a_malformed_limit_changes_nothing
+    patch.setattr(SendGate, "apply_head", apply_all)
+    return advertised.test_a_malformed_limit_changes_nothing
 
 
-def nothing_is_taken_for_used(patch: pytest.MonkeyPatch) -> Test:
+def running_calls_use_no_quota(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "assume_used", lambda self, lifetime, bound, now_s: None)
-    return limits.test_calls_that_run_when_the_limit_is_received_count
+    return advertised.test_calls_that_run_when_the_limit_is_received_count
 
 
 def bursts_are_not_spread(patch: pytest.MonkeyPatch) -> Test:
@@ -100,44 +98,44 @@
     return core.test_a_burst_is_spread_over_the_span
 
 
-def a_list_is_never_kept(patch: pytest.MonkeyPatch) -> Test:
+def a_router_list_is_never_kept(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "has_router_list", lambda self, now_s: self.is_registered)
-    return limits.test_without_the_store_half_of_the_limit_is_still_used
+    return advertised.test_without_the_store_half_of_the_limit_is_still_used
 
 
-def a_list_is_kept_for_ever(patch: pytest.MonkeyPatch) -> Test:
+def a_router_list_is_kept_forever(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(fleet_share, "ROUTER_LIST_KEPT_S", float("inf"))
     return core.test_an_unregistered_router_uses_its_last_list_for_a_minute_with_a_reduced_quota
 
 
-def a_lapsed_seat_counts_in_full(patch: pytest.MonkeyPatch) -> Test:
+def an_expired_registration_has_the_full_quota(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(fleet_share, "UNREGISTERED_SHARE", 1.0)
     return core.test_an_unregistered_router_uses_its_last_list_for_a_minute_with_a_reduced_quota
 
 
-def standing_still_is_not_noticed(patch: pytest.MonkeyPatch) -> Test:
+def a_freeze_is_not_noticed(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(fleet_share, "MAX_UPDATE_GAP_S", float("inf"))
-    return limits.test_a_router_that_was_frozen_sends_nothing_until_its_rank_is_known
+    return advertised.test_a_router_that_was_frozen_sends_nothing_until_its_rank_is_known
 
 
-def nobody_goes_first(patch: pytest.MonkeyPatch) -> Test:
+def no_request_has_priority(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SendGate, "_reserved_calls", lambda self, service, urgency, now_s: 0)
-    return limits.test_urgent_work_goes_first
+    return advertised.test_urgent_work_goes_first
 
 
-def all_are_told_to_come_at_once(patch: pytest.MonkeyPatch) -> Test:
+def retry_times_are_not_spread(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(SendGate, "retry_after_s", lambda self, *args: 0.1)
-    return limits.test_requests_over_all_limits_are_refused_at_once_with_a_retry_time
+    return advertised.test_requests_over_all_limits_are_refused_at_once_with_a_retry_time
 
 
-def a_limit_closes_the_endpoint(patch: pytest.MonkeyPatch) -> Test:
+def a_limit_excludes_the_endpoint(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(
         FleetShare, "wait_s", lambda self, lifetime, bound, now_s, reserved=0: float("inf")
     )
-    return lambda: limits.test_the_limit_is_kept_and_used_by_any_number_of_routers(6, 2.3)
+    return lambda: advertised.test_the_limit_is_kept_and_used_by_any_number_of_routers(6, 2.3)
 
 
-def nobody_looks_for_itself(patch: pytest.MonkeyPatch) -> Test:
+def no_router_rechecks_a_limit(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(
         AdvertisedLimits, "may_recheck", lambda self, limit, routers, jitter, now_s: False
     )
@@ -145,30 +143,30 @@
 
 
 MUTATIONS = (
-    nothing_is_heard,
-    the_choice_ignores_it,
-    nobody_counts,
-    every_router_has_the_first_share,
-    nobody_is_told,
-    nobody_is_told_again,
-    new_routers_are_not_told,
-    it_never_ends,
-    peers_do_not_end_it,
-    it_outlives_its_endpoint,
-    an_odd_word_ends_it,
-    nothing_is_taken_for_used,
+    no_limit_is_received,
+    the_selection_ignores_the_limit,
+    no_call_is_counted,
+    every_router_uses_the_first_quota,
+    no_update_is_sent,
+    no_update_is_resent,
+    new_routers_receive_no_updates,
+    a_limit_never_ends,
+    peers_do_not_end_a_limit,
+    a_limit_outlives_its_endpoint,
+    a_malformed_limit_ends_it,
+    running_calls_use_no_quota,
     bursts_are_not_spread,
-    a_list_is_never_kept,
-    a_list_is_kept_for_ever,
-    a_lapsed_seat_counts_in_full,
-    standing_still_is_not_noticed,
-    nobody_goes_first,
-    all_are_told_to_come_at_once,
-    a_limit_closes_the_endpoint,
-    nobody_looks_for_itself,
+    a_router_list_is_never_kept,
+    a_router_list_is_kept_forever,
+    an_expired_registration_has_the_full_quota,
+    a_freeze_is_not_noticed,
+    no_request_has_priority,
+    retry_times_are_not_spread,
+    a_limit_excludes_the_endpoint,
+    no_router_rechecks_a_limit,
 )
 
 
 @pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutate: mutate.__name__)
-def test_a_part_that_is_switched_off_is_missed(mutate: Mutation, monkeypatch):
+def test_a_disabled_mechanism_is_noticed(mutate: Mutation, monkeypatch):
     assert_missed(mutate, monkeypatch)
--- a/umberhitch/tasks/direct/tests/test_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_mutations.py
@@ -1,4 +1,4 @@
-"""The oracle of the fuzz is worth something: each deliberate break of a rule is caught by it."""
+"""The invariants of the fuzz test detect each deliberate violation of a rule."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 )
 
 
-def repeat_everything(patch: pytest.MonkeyPatch) -> None:
+def repeat_every_call(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Route, "is_repeatable", property(lambda self: True))
 
 
@@ -30,40 +30,40 @@
     patch.setattr(
         Gateway,
         "send_refusal",
-        lambda self, reply, permit, status, reason: refuse(self, reply, permit, 503, reason),
+        lambda self, reply, admitted, status, reason: refuse(self, reply, admitted, 503, reason),
     )
 
 
-def trust_old_proof(patch: pytest.MonkeyPatch) -> None:
+def trust_outdated_reads(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(StoreView, "proof_age_s", lambda self, at_s: 0.0)
 
 
-def believe_every_peer(patch: pytest.MonkeyPatch) -> None:
+def trust_every_peer(patch: pytest.MonkeyPatch) -> None:
     judge = SharedView._evaluate_reply
 
-    def as_if_fresh(
+    def judge_as_fresh(
         self: SharedView, reply: ViewReply | None, called_s: float, offset: int
     ) -> object:
         if reply is not None:
             reply = replace(reply, age_s=0.0)
         return judge(self, reply, called_s, offset)
 
-    patch.setattr(SharedView, "_evaluate_reply", as_if_fresh)
+    patch.setattr(SharedView, "_evaluate_reply", judge_as_fresh)
 
 
-def keep_drains_to_oneself(patch: pytest.MonkeyPatch) -> None:
+def report_no_changes(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(SharedView, "_record_changes", lambda self, batch, is_snapshot, was_away: None)
 
 
-def pass_on_pieces_of_events(patch: pytest.MonkeyPatch) -> None:
+def forward_partial_events(patch: pytest.MonkeyPatch) -> None:
     feed = EventSplitter.feed
 
-    def whole_and_rest(self: EventSplitter, data: bytes) -> bytes:
+    def feed_all(self: EventSplitter, data: bytes) -> bytes:
         whole = feed(self, data)
-        rest, self._partial = self._partial, b""
-        return whole + rest
+        partial, self._partial = self._partial, b""
+        return whole + partial
 
-    patch.setattr(EventSplitter, "feed", whole_and_rest)
+    patch.setattr(EventSplitter, "feed", feed_all)
 
 
 def send_to_draining_endpoints(patch: pytest.MonkeyPatch) -> None:
@@ -71,11 +71,11 @@
     patch.setattr(Members, "in_service", lambda self: list(self.by_incarnation.values()))
 
 
-def never_give_up(patch: pytest.MonkeyPatch) -> None:
+def never_time_out(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ProxiedRequest, "_on_deadline", lambda self: None)
 
 
-def take_unsigned_successes(patch: pytest.MonkeyPatch) -> None:
+def accept_unsigned_successes(patch: pytest.MonkeyPatch) -> None:
     on_success = ProxiedRequest._on_success
 
     def signed(self: ProxiedRequest, head: ReplyHead) -> None:
@@ -84,26 +84,28 @@
     patch.setattr(ProxiedRequest, "_on_success", signed)
 
 
-def hold_what_has_ended(patch: pytest.MonkeyPatch) -> None:
+def keep_finished_calls(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Gateway, "release_call", lambda self, placed, is_failure: None)
 
 
 MUTATIONS = (
-    repeat_everything,
+    repeat_every_call,
     refuse_as_not_run,
-    trust_old_proof,
-    believe_every_peer,
-    keep_drains_to_oneself,
-    pass_on_pieces_of_events,
+    trust_outdated_reads,
+    trust_every_peer,
+    report_no_changes,
+    forward_partial_events,
     send_to_draining_endpoints,
-    never_give_up,
-    take_unsigned_successes,
-    hold_what_has_ended,
+    never_time_out,
+    accept_unsigned_successes,
+    keep_finished_calls,
 )
 
 
 @pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutate: mutate.__name__)
-def test_a_deliberate_break_is_caught(mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch):
+def test_a_deliberate_violation_is_detected(
+    mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch
+):
     mutate(monkeypatch)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(DirectMachine, settings=SETTINGS)
--- a/umberhitch/tasks/direct/tests/test_zone_fuzz.py
+++ b/umberhitch/tasks/direct/tests/test_zone_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of zones out of service and cold endpoints, against what endpoints saw."""
+"""Stateful fuzzing of zones out of service and cold endpoints, checked against received calls."""
 
 from bisect import bisect_left
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 ZONES = ("a", "b")
 ROUTERS = tuple(f"r{number}" for number in range(10))
-"""More than the bound would allow if each sent its one request a second."""
+"""More routers than the bound allows if each sent one request per second."""
 IN_FORCE_S = 5.0
 RATE = 2.0
 COLD_S = 8.0
@@ -30,7 +30,7 @@
 
 
 class ZoneMachine(RuleBasedStateMachine):
-    """Ten routers and two zones; endpoints come cold, routers and store fail at any moment."""
+    """Ten routers and two zones; cold endpoints start, routers and store fail at any time."""
 
     @initialize()
     def begin(self) -> None:
@@ -59,7 +59,7 @@
 
     @rule(zone=st.sampled_from(ZONES), is_cold=st.booleans())
     def add_endpoint(self, zone: str, is_cold: bool) -> None:
-        """Let an endpoint come, perhaps cold from the first."""
+        """Start an endpoint, perhaps a cold one."""
         if len(self.zone_of) >= MAX_ENDPOINTS:
             return
         name = f"{zone}{len(self.zone_of)}"
@@ -71,7 +71,7 @@
 
     @rule(zone=st.sampled_from(ZONES), is_out=st.booleans())
     def change_zone(self, zone: str, is_out: bool) -> None:
-        """Take a zone out or back."""
+        """Take a zone out of service, or restore it."""
         if is_out:
             self.world.take_out(zone)
             self.out_s.setdefault(zone, self.now_s)
@@ -81,7 +81,7 @@
 
     @rule(names=st.sets(st.sampled_from(ROUTERS), min_size=1), count=st.integers(1, 12))
     def crowd(self, names: set[str], count: int) -> None:
-        """Let callers come to routers in quick succession."""
+        """Send requests to routers in quick succession."""
         for _ in range(count):
             for name in sorted(names):
                 if not self.world.routers[name].clock.is_paused:
@@ -90,7 +90,7 @@
 
     @rule(zone=st.sampled_from(ZONES))
     def use_zone_late(self, zone: str) -> None:
-        """Take a zone out, and send when it has to be in force."""
+        """Take a zone out of service, and send requests when that must be in force."""
         for router in self.world.routers.values():
             router.faults.is_down = False
         self.change_zone(zone, True)
@@ -101,20 +101,20 @@
 
     @rule(zone=st.sampled_from(ZONES))
     def rush(self, zone: str) -> None:
-        """Let a cold endpoint come, and callers to all routers as soon as it is known."""
+        """Start a cold endpoint, and send requests to all routers as soon as it is known."""
         self.add_endpoint(zone, True)
         self.world.run(1.2)
         self.crowd(set(ROUTERS), 12)
 
     @rule(name=st.sampled_from(ROUTERS), is_down=st.booleans())
     def cut_store(self, name: str, is_down: bool) -> None:
-        """Cut a router off from the store, or mend that."""
+        """Cut a router off from the store, or reconnect it."""
         self.world.routers[name].faults.is_down = is_down
         self.restart_bounds()
 
     @rule(one=st.sampled_from(ROUTERS), other=st.sampled_from(ROUTERS), is_cut=st.booleans())
     def cut_peers(self, one: str, other: str, is_cut: bool) -> None:
-        """Cut two routers off from each other, or mend that."""
+        """Cut two routers off from each other, or reconnect them."""
         if is_cut:
             self.world.network.cut(one, other)
         else:
@@ -122,7 +122,7 @@
 
     @rule(name=st.sampled_from(ROUTERS))
     def restart(self, name: str) -> None:
-        """Let a router lose power, and another start under its name."""
+        """Kill a router, and start another one under its name."""
         self.world.kill_router(name)
         self.world.run(0.5)
         self.world.add_router(name, zone="c")
@@ -130,7 +130,7 @@
 
     @rule()
     def restart_all(self) -> None:
-        """Let all lose power at once."""
+        """Kill and restart all routers."""
         for name in ROUTERS:
             self.world.kill_router(name)
         self.world.run(0.5)
@@ -140,7 +140,7 @@
 
     @rule(name=st.sampled_from(ROUTERS), seconds=st.sampled_from((0.5, 4.0)))
     def freeze(self, name: str, seconds: float) -> None:
-        """Let a router stand still for a while."""
+        """Freeze a router's process for a while."""
         clock, link = self.world.routers[name].clock, self.world.network.links[name]
         clock.is_paused = link.is_paused = True
         self.world.run(seconds)
@@ -162,23 +162,23 @@
         self.world.run(seconds)
 
     def restart_bounds(self) -> None:
-        """Count what has to be in force from now on: a router was not in touch."""
+        """Restart the time until a change must be in force, since a router was disconnected."""
         self.out_s = dict.fromkeys(self.out_s, self.now_s)
 
     @invariant()
     def zones_out_get_nothing_new(self) -> None:
-        """Later than the bound, from routers that reach the store."""
+        """Holds after the bound, while all routers reach the store."""
         if any(each.faults.is_down for each in self.world.routers.values()):
             self.restart_bounds()
         for name, zone in self.zone_of.items():
-            since_s = self.out_s.get(zone)
-            if since_s is not None:
+            out_since_s = self.out_s.get(zone)
+            if out_since_s is not None:
                 calls = self.world.endpoints.by_address[f"@{name}"].called_s
-                assert not [at_s for at_s in calls if at_s > since_s + IN_FORCE_S], name
+                assert not [at_s for at_s in calls if at_s > out_since_s + IN_FORCE_S], name
 
     @invariant()
     def cold_endpoints_are_not_rushed(self) -> None:
-        """By all routers together, whatever they see of each other."""
+        """The routers keep the bound together, even if cut off from each other."""
         for name, until_s in self.cold_until_s.items():
             times = sorted(self.world.endpoints.by_address[f"@{name}"].called_s)
             times = [each for each in times if each < until_s]
@@ -190,7 +190,7 @@
 TestZones.settings = settings(max_examples=25, stateful_step_count=25, deadline=None)
 
 
-def nobody_is_out(patch: pytest.MonkeyPatch) -> None:
+def no_zone_is_out(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Members, "_is_in_service", lambda self, endpoint: True)
 
 
@@ -198,14 +198,18 @@
     patch.setattr(FleetShare, "_rank", lambda self, lifetime: 0)
 
 
-def nobody_counts(patch: pytest.MonkeyPatch) -> None:
+def no_call_is_counted(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(FleetShare, "note_sent", lambda self, lifetime, now_s: None)
 
 
 @pytest.mark.parametrize(
-    "mutate", [nobody_is_out, every_router_sends, nobody_counts], ids=lambda each: each.__name__
+    "mutate",
+    [no_zone_is_out, every_router_sends, no_call_is_counted],
+    ids=lambda each: each.__name__,
 )
-def test_a_deliberate_break_is_caught(mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch):
+def test_a_deliberate_violation_is_detected(
+    mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch
+):
     mutate(monkeypatch)
     quick = settings(
         max_examples=60,
--- a/umberhitch/tasks/direct/tests/test_zone_mutations.py
+++ b/umberhitch/tasks/direct/tests/test_zone_mutations.py
@@ -1,4 +1,4 @@
-"""Each part of what keeps zones out and cold endpoints safe is missed where it is switched off."""
+"""Each mechanism for zones out of service and cold endpoints is needed, or else a test fails."""
 
 from collections.abc import Callable
 
@@ -16,20 +16,20 @@
 Test = Callable[[], None]
 
 
-def nobody_is_out(patch: pytest.MonkeyPatch) -> Test:
+def no_zone_is_out(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Members, "_is_in_service", lambda self, endpoint: True)
     return lambda: zones.test_no_kind_of_call_goes_to_a_zone_that_is_out(zones._first_choice)
 
 
-def homes_stay(patch: pytest.MonkeyPatch) -> Test:
-    """Homes are kept when a zone goes, and calls follow them."""
+def affinity_endpoints_stay(patch: pytest.MonkeyPatch) -> Test:
+    """The affinity endpoints are kept when a zone goes out of service, and calls follow them."""
 
-    def keep_homes(self: Members) -> None:
+    def keep_affinity(self: Members) -> None:
         self.cached_in_service = None
 
-    patch.setattr(Members, "invalidate", keep_homes)
+    patch.setattr(Members, "invalidate", keep_affinity)
 
-    def known_homes_move() -> None:
+    def calls_leave_the_zone() -> None:
         world = zones._world()
         zones._affinity_of_a_prompt(world)
         before = zones._calls(world, "b")
@@ -38,10 +38,10 @@
         zones._affinity_of_a_prompt(world)
         assert zones._calls(world, "b") == before
 
-    return known_homes_move
+    return calls_leave_the_zone
 
 
-def whole_reads_mean_nothing(patch: pytest.MonkeyPatch) -> Test:
+def snapshots_delete_nothing(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(
         StoreView, "_apply_order_snapshot", lambda s, batch: s._apply_orders(batch, False)
     )
@@ -53,27 +53,27 @@
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
-def nobody_counts(patch: pytest.MonkeyPatch) -> Test:
+def no_call_is_counted(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(FleetShare, "note_sent", lambda self, lifetime, now_s: None)
     return cold.test_requests_over_the_quota_are_refused_at_once_with_a_retry_time
 
 
-def all_are_settled_at_once(patch: pytest.MonkeyPatch) -> Test:
+def routers_are_known_at_once(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Membership, "is_known_to_peers", lambda self: self._joined_s is not None)
     return cold.test_after_the_loss_of_all_routers_the_bound_is_kept
 
 
-def seats_last_for_ever(patch: pytest.MonkeyPatch) -> Test:
+def registrations_never_expire(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Membership, "is_known_to_peers", lambda self: True)
     return cold.test_a_router_whose_lease_has_expired_sends_nothing_to_a_cold_endpoint
 
 
-def entries_are_not_believed(patch: pytest.MonkeyPatch) -> Test:
+def cold_entries_are_ignored(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Directory, "_update_cold", lambda self, endpoint, now_s: None)
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
-def zones_return_warm(patch: pytest.MonkeyPatch) -> Test:
+def zones_are_restored_warm(patch: pytest.MonkeyPatch) -> Test:
     patch.setattr(Endpoint, "presume_cold", lambda self, until_s, source: None)
     return cold.test_endpoints_of_a_restored_zone_keep_the_bound
 
@@ -83,26 +83,26 @@
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
-def the_choice_ignores_the_share(patch: pytest.MonkeyPatch) -> Test:
-    patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, found: found)
+def the_selection_ignores_the_quota(patch: pytest.MonkeyPatch) -> Test:
+    patch.setattr(EndpointSelector, "_with_quota", lambda self, admitted, candidates: candidates)
     return cold.test_a_new_endpoint_beside_warm_ones_keeps_the_bound_and_is_used
 
 
 MUTATIONS = (
-    nobody_is_out,
-    homes_stay,
-    whole_reads_mean_nothing,
+    no_zone_is_out,
+    affinity_endpoints_stay,
+    snapshots_delete_nothing,
     every_router_sends,
-    nobody_counts,
-    all_are_settled_at_once,
-    seats_last_for_ever,
-    entries_are_not_believed,
-    zones_return_warm,
+    no_call_is_counted,
+    routers_are_known_at_once,
+    registrations_never_expire,
+    cold_entries_are_ignored,
+    zones_are_restored_warm,
     cold_endpoints_get_nothing,
-    the_choice_ignores_the_share,
+    the_selection_ignores_the_quota,
 )
 
 
 @pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutate: mutate.__name__)
-def test_a_part_that_is_switched_off_is_missed(mutate: Mutation, monkeypatch):
+def test_a_disabled_mechanism_is_noticed(mutate: Mutation, monkeypatch):
     assert_missed(mutate, monkeypatch)
--- a/umberhitch/tasks/direct/tests/test_zones.py
+++ b/umberhitch/tasks/direct/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Availability zones out of service: every router knows, and no kind of call goes there."""
+"""Availability zones out of service: every router knows them, and sends no kind of call there."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from umberhitch.testing import DirectRouter, DirectWorld, make_direct_document, make_route
 
 IN_FORCE_S = 5.0
-"""The platform's bound, from its word to when nothing new reaches the zone."""
+"""The platform's bound in seconds from its order until no new call reaches the zone."""
 ERROR = Reply(status=500, body=b"error")
 STREAM = Reply(events=4)
 PROMPT = "shared:3000,own:10"
@@ -24,7 +24,9 @@
     for zone in "ab":
         for number in (1, 2):
             endpoint = world.add_endpoint(f"{zone}{number}", zone=zone)
-            endpoint.reply = Reply(delay_s=0.5)  # many are under way at once, so all are used
+            endpoint.reply = Reply(
+                delay_s=0.5
+            )  # many calls run at once, so that all endpoints are used
     routes = (
         make_route("look"),
         make_route("order", RouteKind.NON_IDEMPOTENT),
@@ -53,13 +55,13 @@
 
 def _send_many(world: DirectWorld, path: str, count: int = 40, **headers: str) -> list[int | None]:
     names = list(world.routers)
-    asks = []
+    reqs = []
     for number in range(count):
         router = world.routers[names[number % len(names)]]
-        asks.append(world.ask(router, path, **headers))
+        reqs.append(world.ask(router, path, **headers))
         world.run(0.02)
     world.run(3.0)
-    return [ask.status for ask in asks]
+    return [req.status for req in reqs]
 
 
 # Every kind of call
@@ -148,7 +150,7 @@
 
 @pytest.mark.parametrize("send", KINDS, ids=lambda send: send.__name__.strip("_"))
 def test_each_kind_of_call_goes_there_while_it_is_in_service(send: Callable[[DirectWorld], None]):
-    """Else the next test would show nothing."""
+    """Without this, the next test would prove nothing."""
     world = _world(2)
     send(world)
     assert _calls(world, "b") > 0
@@ -164,8 +166,8 @@
     assert _calls(world, "a") > 0
 
 
-def test_all_calls_take_their_endpoints_from_one_place(monkeypatch):
-    """A call that found its endpoint elsewhere would be sent although nothing is offered there."""
+def test_all_calls_get_their_endpoints_from_the_selector(monkeypatch):
+    """A call that gets its endpoint in another way is sent though the selector returns none."""
     world = _world()
     monkeypatch.setattr(
         EndpointSelector, "select_endpoint", lambda self, admitted, model, tried: None
@@ -175,41 +177,41 @@
     assert _calls(world, "a") == _calls(world, "b") == 0
 
 
-# What is under way, and what is refused
+# Running and refused requests
 
 
-def test_a_stream_under_way_goes_on_to_its_end():
+def test_a_running_stream_completes():
     world = _world()
     _set_replies(world, Reply(events=40, gap_s=0.1))
     router = world.routers["r0"]
-    asks = [world.ask(router, "/draft/x", Prompt=f"p{n}:30,own:1") for n in range(8)]
+    reqs = [world.ask(router, "/draft/x", Prompt=f"p{n}:30,own:1") for n in range(8)]
     world.run(0.5)
     assert _calls(world, "b") > 0
     world.take_out("b")
     world.run(6.0)
-    assert all(ask.reply.is_complete for ask in asks)
+    assert all(req.reply.is_complete for req in reqs)
     assert all(not each.cancelled for each in world.endpoints.by_address.values())
 
 
-def test_with_all_zones_out_requests_are_refused_at_once_and_told_to_come_back_late():
+def test_with_all_zones_out_requests_are_refused_at_once_with_a_late_retry_time():
     world = _world()
     world.take_out("a")
     world.take_out("b")
     world.run(1.0)
-    ask = world.ask(world.routers["r0"], "/look/x", Patience="9")
-    assert ask.status == 503
-    assert ask.reply.headers[b"Come-Back"] == b"3.000"
+    req = world.ask(world.routers["r0"], "/look/x", Patience="9")
+    assert req.status == 503
+    assert req.reply.headers[b"Come-Back"] == b"3.000"
     assert _calls(world, "a") == _calls(world, "b") == 0
 
 
-# How it is known
+# How routers learn the state of a zone
 
 
 def _is_out(router: DirectRouter, zone: str = "b") -> bool:
     return zone in router.gateway.directory.zones_out
 
 
-def test_it_is_out_and_back_again():
+def test_a_zone_is_taken_out_and_restored():
     world = _world()
     world.take_out("b")
     world.run(0.2)
@@ -222,7 +224,7 @@
     assert _calls(world, "b") > 0
 
 
-def test_out_back_and_out_within_a_second_is_out():
+def test_a_zone_taken_out_repeatedly_within_a_second_is_out():
     world = _world(3)
     for _ in range(3):
         world.take_out("b")
@@ -235,13 +237,13 @@
 
 
 def test_a_record_missing_from_a_snapshot_restores_the_zone():
-    """Its deletion was dropped with the history: a whole read has nothing of it."""
+    """Its deletion was dropped with the history, so that a snapshot has no record of the zone."""
     world = _world()
     router = world.routers["r0"]
     world.take_out("b")
     world.run(0.2)
     router.faults.is_down = True
-    world.run(2.5)  # a call that is held ends meanwhile
+    world.run(2.5)  # a long poll ends meanwhile
     records = world.operator.records
     world.operator.records = [each for each in records if each.key != "zone/b"]
     world.operator.records += [records[0]] * 3
@@ -251,7 +253,7 @@
     assert not _is_out(router)
 
 
-def test_history_that_is_gone_alone_changes_nothing():
+def test_dropped_history_alone_changes_nothing():
     world = _world()
     world.take_out("b")
     world.run(0.2)
@@ -276,31 +278,31 @@
     world.take_out("b")
     world.run(1.0)
     late = world.add_router("late", zone="c")
-    asks = []
+    reqs = []
     for _ in range(60):
-        asks.append(world.ask(late, "/look/x"))
+        reqs.append(world.ask(late, "/look/x"))
         world.run(0.01)
     world.run(1.0)
-    assert 200 in {ask.status for ask in asks}
+    assert 200 in {req.status for req in reqs}
     assert _calls(world, "b") == 0
 
 
-def test_routers_that_the_store_turns_away_are_told_by_peers():
+def test_routers_without_the_store_learn_zones_from_peers():
     world = _world(6)
     world.run(2.0)
-    away = [world.routers[name] for name in ("r1", "r3", "r4")]
-    for router in away:
+    cut_off = [world.routers[name] for name in ("r1", "r3", "r4")]
+    for router in cut_off:
         router.faults.is_down = True
     world.run(3.0)
     world.take_out("b")
     world.run(IN_FORCE_S)
-    assert all(map(_is_out, away))
+    assert all(map(_is_out, cut_off))
     world.take_back("b")
     world.run(IN_FORCE_S)
-    assert not any(map(_is_out, away))
+    assert not any(map(_is_out, cut_off))
 
 
-def test_a_router_that_stood_still_sends_nothing_there_when_it_wakes():
+def test_a_router_that_was_frozen_sends_nothing_to_the_zone_on_resumption():
     world = _world(2)
     router = world.routers["r0"]
     router.clock.is_paused = True
@@ -316,8 +318,8 @@
 
 
 @pytest.mark.parametrize("routers", [6, 30, 100])
-def test_it_is_in_force_at_every_router_within_the_bound(routers):
-    """Also where messages are lost, come late, and a fifth of the routers is cut off from peers."""
+def test_a_zone_change_is_in_force_at_every_router_within_the_bound(routers):
+    """Messages are lost or late, and a fifth of the routers are cut off from the others."""
     world = _world(routers)
     world.run(4.0)
     world.network.faults.drop = 0.1
