--- a/umberhitch/tasks/appender.py
+++ b/umberhitch/tasks/appender.py
@@ -100,7 +100,7 @@
             If the queue is full. The record was not queued.
         """
         if self.is_full:
-            raise AppenderFullError(f"{self.pending} records are queued for stream {self._stream}")
+            raise AppenderFullError(f"{self.pending} records wait for stream {self._stream}")
         entry = _Entry(data)
         self._queued.append(entry)
         self._schedule(self.interval_s)
--- a/umberhitch/tasks/requests.py
+++ b/umberhitch/tasks/requests.py
@@ -172,7 +172,7 @@
     def _refusal(self, req: CallerRequest) -> NotRun | None:
         router = self._router
         if not router.is_ready:
-            return NotRun(Reason.LEAVING, "this router does not accept requests", 0.5)
+            return NotRun(Reason.LEAVING, "this router takes no requests", 0.5)
         if router.is_stale:
             return NotRun(
                 Reason.STALE_CONFIG, "the configuration may be out of date", LOG_RETRY_AFTER_S
--- a/umberhitch/tasks/resume.py
+++ b/umberhitch/tasks/resume.py
@@ -74,4 +74,4 @@
         outcome = await self._attempts.outcome_of(open_attempt)
         if isinstance(outcome, Done):
             return replace(outcome, text=outcome.text[offset:])
-        return Unknown(outcome.reason, outcome.detail or "the agent does not hold the answer")
+        return Unknown(outcome.reason, outcome.detail or "the answer is not there")
