--- a/umberhitch/core/detector.py
+++ b/umberhitch/core/detector.py
@@ -70,7 +70,7 @@
 
     Attributes
     ----------
-    needed : int
+    min_observations : int
         Number of observations needed before the mean is available.
     """
 
--- a/umberhitch/core/direct/_advertised_limits.py
+++ b/umberhitch/core/direct/_advertised_limits.py
@@ -17,10 +17,11 @@
 """Minimum number of requests per second from all routers together. Only an answer shows that an
 endpoint which accepted nothing accepts requests again."""
 CONCURRENT_LISTS = 1.0 + UNREGISTERED_SHARE
-"""Router lists in use at once: that of the registered routers, and an older one of the others."""
+"""Router lists in use at once: that of the registered routers, which counts in full, and an older
+one of the unregistered routers, whose quotas are reduced."""
 RATE_PER_SENDER = 0.5
 """Requests per second from one router to one endpoint. These are two in a span, so that little of
-its quota stays unused by chance, also where many routers have few requests each."""
+a router's quota stays unused by chance, also where many routers have few requests each."""
 NOTIFY_FALL_RATIO = 0.8
 """A rate that has fallen below this fraction of the last notified rate is notified at once."""
 MAX_NOTICE_DELAY_S = 0.5
@@ -32,8 +33,8 @@
 """Seconds without a report of a limit after which a router that isn't a sender checks it with one
 request. The senders receive the limit with each answer, and notify the others within seconds."""
 RECHECK_S_PER_ROUTER = 2.0
-"""Minimum of the same time in seconds per router: if all routers are cut off from each other, their
-checks together are one request in this time."""
+"""Minimum of that time, in seconds per router: if all routers are cut off from each other, their
+checks together are one request in this many seconds."""
 
 
 class LimitChange(Enum):
@@ -200,5 +201,5 @@
             return
         keep = set(known)
         for kept in (self._limits, self._ended_s):
-            for lifetime in [each for each in kept if each not in keep]:
+            for lifetime in [lifetime for lifetime in kept if lifetime not in keep]:
                 del kept[lifetime]
--- a/umberhitch/core/direct/_canary.py
+++ b/umberhitch/core/direct/_canary.py
@@ -3,7 +3,7 @@
 During the first half of the roll-out the new version gets a small, fixed share of the traffic, and
 a session keeps the version on which it started. The answers are counted over all routers. Then a
 load test follows: one endpoint of the new version gets all light work for a while, so that it is
-fully loaded and a version that fails under load shows it before it has run much. If the endpoint
+fully loaded and a version that fails under load shows this before it has run much. If the endpoint
 was fully loaded, all traffic moves to the new version after the load test. If there was too little
 traffic to load it, the new version gets no more than the users' exposure bound allows for a bad
 version, and all traffic moves near the end: a version whose fault shows only under the full load
@@ -170,11 +170,11 @@
         self._takes_all_traffic = (
             self._takes_all_traffic
             or progress >= limits.max_full_shift
-            or self._covers_rest(progress)
+            or self._covers_remaining(progress)
         )
         return self._takes_all_traffic
 
-    def _covers_rest(self, progress: float) -> bool:
+    def _covers_remaining(self, progress: float) -> bool:
         """Whether the exposure bound covers 1.2 times the requests expected until the end."""
         limits = self.limits
         new = self.pooled_counts(True).answers
--- a/umberhitch/core/direct/_cascade.py
+++ b/umberhitch/core/direct/_cascade.py
@@ -1,8 +1,8 @@
-"""Model cascade: which model answers, and when a small model's answer yields to a large one's.
+"""Model cascade: which model answers, and when a small model's answer is dropped for a large one's.
 
 A model declares its confidence in the head of its reply, before any event, so that a dropped answer
-costs little more than the prefill of the prompt. The answer is dropped where the large model's is
-expected to be worth more, with its price and the time that it takes included.
+costs little more than the prefill of the prompt. The answer is dropped where the large model's
+answer is expected to have more value, with its price and the time that it takes included.
 """
 
 from collections.abc import Mapping
--- a/umberhitch/core/direct/_change.py
+++ b/umberhitch/core/direct/_change.py
@@ -1,4 +1,4 @@
-"""Differences between two configurations, which are small where these are large and similar."""
+"""Differences between two configurations, which are small if the configurations are similar."""
 
 from dataclasses import dataclass, replace
 
@@ -55,10 +55,14 @@
     return DocumentChange(
         old.number,
         new.number,
-        tuple(route for place, route in after.items() if before.get(place) != route),
-        tuple(place for place in before if place not in after),
+        tuple(route for key, route in after.items() if before.get(key) != route),
+        tuple(key for key in before if key not in after),
         None if old.services == new.services else new.services,
-        {key: who for key, who in new.customers.items() if old.customers.get(key) != who},
+        {
+            key: customer
+            for key, customer in new.customers.items()
+            if old.customers.get(key) != customer
+        },
         tuple(key for key in old.customers if key not in new.customers),
         new.intake,
     )
@@ -69,8 +73,8 @@
     if document.number != change.base:
         return None
     routes = {_route_key(route): route for route in document.routes}
-    for place in change.routes_gone:
-        routes.pop(place, None)
+    for route_key in change.routes_gone:
+        routes.pop(route_key, None)
     routes.update((_route_key(route), route) for route in change.routes)
     customers = {**document.customers, **change.customers}
     for key in change.keys_gone:
--- a/umberhitch/core/direct/_crash_record.py
+++ b/umberhitch/core/direct/_crash_record.py
@@ -29,8 +29,9 @@
     Attributes
     ----------
     crashes : int
-        Crashed endpoints from which on a request is held. One or two crash under many requests that
-        don't cause it, where a rack is lost and its requests are retried on the next rack.
+        Number of crashed endpoints from which on a request is held. When a rack is lost and its
+        requests are retried on the next rack, one or two endpoints crash under many requests that
+        aren't the cause.
     probe_gaps_s : tuple of float
         Time from the last crash or probe to the first probe, to the second one and so on. The first
         probe is soon, since it serves and releases a request that only happened to be running on
@@ -43,8 +44,8 @@
     survival_factor : float
         A run is assumed not to crash its endpoint once it has lasted after its first answer for
         this many times the duration of the longest run under which an endpoint crashed. When a
-        rack is lost, some runs of a request that many callers send have lasted so long, so that
-        it isn't held at all.
+        rack is lost, some runs of a request that many callers send have lasted this long, so that
+        the request isn't held at all.
     min_survival_s : float
         Minimum of that time.
     forget_s : float
@@ -114,7 +115,7 @@
     """Services and versions that probes were admitted to."""
 
     def last_crash_s(self) -> float:
-        return max((each.crashed_s for each in self.crashes.values()), default=self.last_probe_s)
+        return max((crash.crashed_s for crash in self.crashes.values()), default=self.last_probe_s)
 
 
 class CrashRecord:
@@ -169,7 +170,9 @@
         suspect = self._suspects.get(key)
         if suspect is None:
             return False
-        later = {name: each for name, each in suspect.crashes.items() if each.started_s > at_s}
+        later = {
+            lifetime: crash for lifetime, crash in suspect.crashes.items() if crash.started_s > at_s
+        }
         is_cleared = len(later) < len(suspect.crashes)
         suspect.crashes = later
         if not later:
@@ -179,7 +182,7 @@
     def survival_s(self, key: str) -> float:
         """Return the seconds that a run must last after its first answer to clear the request."""
         longest_s = max(
-            (each.crashed_s - each.started_s for each in self.crashes(key)), default=0.0
+            (crash.crashed_s - crash.started_s for crash in self.crashes(key)), default=0.0
         )
         return max(self.limits.min_survival_s, self.limits.survival_factor * longest_s)
 
@@ -235,7 +238,7 @@
         if suspect is None or len(suspect.crashes) < self.limits.crashes:
             return None
         gaps_s = self.limits.probe_gaps_s
-        crashed = {each.service_version for each in suspect.crashes.values()}
+        crashed = {crash.service_version for crash in suspect.crashes.values()}
         step = suspect.probes
         if step < len(gaps_s):
             gap_s = gaps_s[step]
@@ -274,7 +277,7 @@
                 yield key, hold
 
     def forget(self, now_s: float) -> None:
-        """Forget requests whose last crash and hold are older than ``forget_s``."""
+        """Remove requests whose last crash and hold are older than ``forget_s``."""
         for key, suspect in list(self._suspects.items()):
             hold = self.hold(key, now_s)
             expires_s = suspect.last_crash_s() + self.limits.forget_s
--- a/umberhitch/core/direct/_directory.py
+++ b/umberhitch/core/direct/_directory.py
@@ -5,12 +5,12 @@
 there. Calls that are running there continue.
 
 An endpoint may restart under its incarnation. Its entry then names another start time, and a new
-lifetime begins. State that describes one process is discarded with its lifetime: bans and failures,
-the load reported by the endpoint or by peers, what its engine has cached and is reading, its
-inter-token latency, the calls in flight on it and its idle connections. Other state is kept. The
-affinity of the buckets stays, since the shared parts are then read once more on the same endpoint
-and on no other one. What is known of a version, the inter-token latency of a model, the budgets and
-the sessions also stay, since they don't describe a single process.
+lifetime begins. State that describes one process is discarded with its lifetime: ejections and
+failures, the load reported by the endpoint or by peers, what its engine has cached and is
+prefilling, its inter-token latency, the calls in flight on it and its idle connections. Other state
+is kept. The affinities of the buckets stay, since the shared parts are then prefilled once more on
+the same endpoint and on no other one. What is known of a version, the inter-token latency of a
+model, the budgets and the sessions also stay, since they don't describe a single process.
 
 The newer one of two lifetimes is the one whose entry the registry confirmed later. Start times are
 never compared.
@@ -31,19 +31,19 @@
 LAPSED_KEPT_S = 1.9
 """Seconds for which an entry that lapsed during an outage of the registry is kept. The platform
 states that such entries are written again about 2 s after the outage, and that an endpoint that has
-exited may get no call 2 s after its exit."""
+exited must get no calls from 2 s after its exit on."""
 MAX_KEPT_AFTER_READ_S = 1.85
 """Maximum time in seconds that a vanished entry is kept after the last read that contained it."""
 MAX_UNSAMPLED = 48
-"""Maximum number of endpoints of a service that are all considered; of more, a sample is."""
+"""Maximum number of endpoints of a service that are all considered. Of more, a sample is drawn."""
 SAMPLE_SIZE = 32
 """Endpoints sampled for one decision. The least loaded one of the sample is close to the least
 loaded one of all (Mitzenmacher, 2001)."""
 AFFINITY_BUCKETS = 1024
 """Number of buckets that the shared parts of prompts are hashed to, each with its affinity."""
 STALE_ENTRY_S = 1.5
-"""An entry of a replaced lifetime is taken for a delayed write until it has stood for this many
-seconds. A running process writes its entry every 1.2 s."""
+"""An entry of a replaced lifetime is assumed to be a delayed write unless no other lifetime's entry
+follows within this many seconds. A running process writes its entry every 1.2 s."""
 MAX_REPLACED_INCARNATIONS = 2000
 """Incarnations whose replaced lifetimes are remembered: as many as restart within a day."""
 MAX_REPLACED_LIFETIMES = 4
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    leaving : container of str
+    draining : container of str
         Lifetimes that are known to be draining, whatever state their entries name.
     router : str
         Name of this router.
@@ -183,7 +183,7 @@
 
     def cold_endpoints(self, now_s: float) -> list[Endpoint]:
         """Return the endpoints that are cold or assumed to be."""
-        return [each for each in self._endpoints.values() if each.is_cold(now_s)]
+        return [endpoint for endpoint in self._endpoints.values() if endpoint.is_cold(now_s)]
 
     def _note_replaced(self, entry: EndpointEntry) -> None:
         replaced = self._replaced.pop(entry.incarnation, deque(maxlen=MAX_REPLACED_LIFETIMES))
@@ -264,16 +264,16 @@
         return list(self._lifetimes)
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return all endpoints of a service, also those that accept no new requests."""
+        """Return all endpoints of a service, including those that accept no new requests."""
         members = self._by_service.get(service)
         return [] if members is None else list(members.by_incarnation.values())
 
     def of_zone(self, zone: str) -> list[Endpoint]:
         """Return the endpoints in an availability zone."""
-        return [each for each in self._endpoints.values() if each.entry.zone == zone]
+        return [endpoint for endpoint in self._endpoints.values() if endpoint.entry.zone == zone]
 
     def listed(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that aren't draining, also those that fail.
+        """Return the endpoints of a service that aren't draining, including those that fail.
 
         Endpoints in zones that are out of service are left out.
         """
@@ -289,7 +289,7 @@
     ) -> list[Endpoint]:
         """Return endpoints of a service that accept new requests.
 
-        Where all of them are banned, the bans are ignored, since an attempt is better than a
+        Where all of them are ejected, the ejections are ignored, since an attempt is better than a
         refusal.
 
         Parameters
@@ -303,11 +303,11 @@
         """
         known = self.listed(service)
         if is_open is not None:
-            known = [each for each in known if is_open(each)]
+            known = [endpoint for endpoint in known if is_open(endpoint)]
         if rng is not None and len(known) > MAX_UNSAMPLED:
             known = rng.sample(known, SAMPLE_SIZE)
-        ready = [each for each in known if each.accepts_work(now_s)]
-        return ready or [each for each in known if each.expires_s is None]
+        ready = [endpoint for endpoint in known if endpoint.accepts_work(now_s)]
+        return ready or [endpoint for endpoint in known if endpoint.expires_s is None]
 
     def affinity_endpoint(self, service: str, part: str) -> Endpoint | None:
         """Return the affinity endpoint of a shared part, by a rendezvous hash of its bucket.
--- a/umberhitch/core/direct/_endpoint.py
+++ b/umberhitch/core/direct/_endpoint.py
@@ -23,8 +23,8 @@
     ejected_until_s: float = 0.0
     failures: int = 0
     has_exited: bool = False
-    """Whether its process was seen to have exited; an answer after that means that it has
-    restarted."""
+    """Whether the endpoint's process was seen to have exited; an answer after that means that the
+    process has restarted."""
     reports_draining: bool = False
     """Whether the endpoint itself has reported that it is draining, whatever its entry says."""
     cold_until_s: float = 0.0
@@ -43,7 +43,7 @@
         self.lifetime = name if born is None else f"{name}@{born}"
 
     def is_cold(self, now_s: float) -> bool:
-        """Whether the rate of requests to the endpoint is limited after its start."""
+        """Whether the endpoint sustains only a low rate of requests, as after its start."""
         return now_s < self.cold_until_s or now_s < self.presumed_cold_until_s
 
     def presume_cold(self, until_s: float, source: str) -> None:
@@ -71,7 +71,14 @@
             self.ejected_until_s = max(self.ejected_until_s, now_s + RECOVERY_CALL_S)
 
     def note_failure(self, now_s: float, has_exited: bool = False) -> None:
-        """Record that the endpoint was unreachable or broke off, perhaps since it has exited."""
+        """Record that the endpoint was unreachable or broke off a call.
+
+        Parameters
+        ----------
+        now_s : float
+        has_exited : bool
+            Whether the endpoint's process is known to have exited.
+        """
         self.has_exited |= has_exited
         ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.failures)
         self.failures += 1
--- a/umberhitch/core/direct/_fleet_share.py
+++ b/umberhitch/core/direct/_fleet_share.py
@@ -2,9 +2,9 @@
 
 Such a bound applies to a cold endpoint, which crashes under a higher rate, and to an overloaded
 endpoint that advertises a rate. Only a few routers send to such an endpoint. They are chosen by a
-rendezvous hash over the routers that the store lists. Their quotas are such that the senders by the
-current list and those by an outdated one stay within the bound together. Design notes 16 and 18
-compare the alternatives.
+rendezvous hash over the routers that the store lists. Their quotas are so small that the senders of
+the current list and those of an outdated list stay within the bound together. Design notes 16 and
+18 compare the alternatives.
 """
 
 from collections import deque
@@ -18,11 +18,12 @@
 
 MIN_SENDERS = 4
 """Minimum number of routers that send to one such endpoint, if there are as many. The loss of one
-costs the endpoint a quarter of its requests. Each sender may send several requests in a span, so
-that little of its quota stays unused by chance."""
+costs the endpoint a quarter of its requests. As the senders are few, each may send several requests
+in a span, so that little of its quota stays unused by chance."""
 MAX_SEND_TIMES = 256
 SEND_TIMES_KEPT_S = 10.0
-"""Send times kept per endpoint. Beyond this number, only those of the last seconds are kept."""
+"""At most `MAX_SEND_TIMES` send times are kept per endpoint, and more only if none of them is older
+than `SEND_TIMES_KEPT_S` seconds."""
 UNREGISTERED_SHARE = 0.6
 """Fraction of the total quota that a router uses while its registration in the store isn't
 confirmed, since the other routers may use a list without it."""
@@ -41,7 +42,7 @@
     Attributes
     ----------
     overrun : float
-        Factor by which the requests may exceed the rate that the endpoint bears.
+        Factor by which the requests may exceed the rate that the endpoint sustains.
     slack : float
         Number of requests allowed in addition.
     """
@@ -50,7 +51,7 @@
     slack: float = 5.0
 
     def bound(self, rate: float) -> "FleetBound":
-        """Return the bound of an endpoint that bears the given requests per second."""
+        """Return the bound of an endpoint that sustains the given requests per second."""
         return FleetBound(rate, 1.0, self.overrun, self.slack)
 
 
@@ -61,7 +62,7 @@
     Attributes
     ----------
     rate : float
-        Requests per second that the endpoint bears.
+        Requests per second that the endpoint sustains.
     span_s : float
         Length in seconds of the sliding span that the bound applies to.
     overrun : float
@@ -176,7 +177,7 @@
         rank = self._ranks.get(lifetime)
         if rank is None:
             own = _score(lifetime, self.name)
-            rank = sum(_score(lifetime, each) > own for each in self._routers)
+            rank = sum(_score(lifetime, router) > own for router in self._routers)
             self._ranks[lifetime] = rank
         return rank
 
@@ -235,7 +236,7 @@
         """Remove the state of lifetimes that aren't among the known ones."""
         keep = set(known)
         for counted in (self._send_times, self._ranks):
-            for lifetime in [each for each in counted if each not in keep]:
+            for lifetime in [lifetime for lifetime in counted if lifetime not in keep]:
                 del counted[lifetime]
 
 
--- a/umberhitch/core/direct/_header_values.py
+++ b/umberhitch/core/direct/_header_values.py
@@ -36,7 +36,7 @@
     Attributes
     ----------
     seconds : float or None
-        Duration, or None if the values contain no valid time.
+        Duration in seconds, or None if the values contain no valid time.
     is_malformed : bool
         Whether the values contain something, but no valid time.
     """
@@ -65,8 +65,8 @@
     times_s, words = [], []
     written_s = _date_s(date)
     for value in values:
-        for each in HTTP_DATE.findall(value):
-            until_s = _date_s(each)
+        for http_date in HTTP_DATE.findall(value):
+            until_s = _date_s(http_date)
             if until_s is not None:
                 times_s.append(until_s - (time_of_day() if written_s is None else written_s))
         words += [word.strip(b" \t") for word in HTTP_DATE.sub(b"", value).split(b",")]
--- a/umberhitch/core/direct/_members.py
+++ b/umberhitch/core/direct/_members.py
@@ -62,7 +62,10 @@
         """Return the affinity endpoint of a bucket, computed on the first lookup."""
         found = self.affinity_endpoints.get(bucket)
         if found is None:
-            scored = [(_score(bucket, each), index) for index, each in enumerate(self.in_service())]
+            scored = [
+                (_score(bucket, endpoint), index)
+                for index, endpoint in enumerate(self.in_service())
+            ]
             if not scored:
                 return None
             score, index = max(scored)
@@ -72,10 +75,15 @@
     def in_service(self) -> list[Endpoint]:
         """Return the endpoints that aren't draining, in zones that are in service.
 
-        Each router has its own order, so that the routers don't all choose the same one of equals.
+        Each router has its own order, so that the routers don't all choose the same one of several
+        equally good endpoints.
         """
         if self.cached_in_service is None:
-            found = [each for each in self.by_incarnation.values() if self._is_in_service(each)]
+            found = [
+                endpoint
+                for endpoint in self.by_incarnation.values()
+                if self._is_in_service(endpoint)
+            ]
             self.cached_in_service = sorted(found, key=self._order_key)
         return self.cached_in_service
 
--- a/umberhitch/core/direct/_placement.py
+++ b/umberhitch/core/direct/_placement.py
@@ -190,7 +190,7 @@
     def retain(self, known: Iterable[str]) -> None:
         """Discard the state of all lifetimes of endpoints except the known ones."""
         keep = set(known)
-        for lifetime in [each for each in self._observed if each not in keep]:
+        for lifetime in [lifetime for lifetime in self._observed if lifetime not in keep]:
             del self._observed[lifetime]
 
     def token_s(self, model: str, models: tuple[str, ...]) -> float:
@@ -212,7 +212,7 @@
             If there is no endpoint.
         """
         return min(
-            (Candidate(each, self._plain_wait_s(each, now_s)) for each in endpoints),
+            (Candidate(endpoint, self._plain_wait_s(endpoint, now_s)) for endpoint in endpoints),
             key=lambda candidate: candidate.wait_s + self._penalty_s(candidate.endpoint, now_s),
         )
 
@@ -224,7 +224,7 @@
         ValueError
             If there is no endpoint.
         """
-        candidates = (self._engine_candidate(each, call, now_s) for each in endpoints)
+        candidates = (self._engine_candidate(endpoint, call, now_s) for endpoint in endpoints)
         return min(candidates, key=lambda candidate: self._cost(candidate, call, now_s))
 
     def _cost(self, candidate: Candidate, call: EngineCall, now_s: float) -> float:
@@ -257,8 +257,8 @@
             return 0.0
         running, _ = self._load(observed, now_s)
         slots = max(1, endpoint.entry.slots)
-        each_s = self.limits.plain_call_s
-        return observed.slowness * (each_s * running / slots + each_s * max(0.0, running - slots))
+        call_s = self.limits.plain_call_s
+        return observed.slowness * (call_s * running / slots + call_s * max(0.0, running - slots))
 
     def _load(self, observed: _Observed, now_s: float) -> tuple[float, float]:
         """Return the calls on an endpoint, and how many of them wait for a slot."""
--- a/umberhitch/core/direct/_prefill_speed.py
+++ b/umberhitch/core/direct/_prefill_speed.py
@@ -48,7 +48,7 @@
         ----------
         model : str
         tokens : int
-            Tokens that were prefilled, as far as known.
+            Number of prefilled tokens as known to this router.
         taken_s : float
             Seconds from sending the call to the start of the reply.
         queue_s : float
@@ -69,11 +69,11 @@
 
 
 def _weighted_median(samples: "deque[_Sample]") -> float:
-    ordered = sorted(samples, key=lambda each: each.token_s)
-    half = sum(each.weight for each in ordered) / 2
+    ordered = sorted(samples, key=lambda sample: sample.token_s)
+    half = sum(sample.weight for sample in ordered) / 2
     total = 0.0
-    for each in ordered:
-        total += each.weight
+    for sample in ordered:
+        total += sample.weight
         if total >= half:
-            return each.token_s
+            return sample.token_s
     return ordered[-1].token_s
--- a/umberhitch/core/direct/_request_key.py
+++ b/umberhitch/core/direct/_request_key.py
@@ -9,7 +9,7 @@
 HEX_DIGITS = 16
 
 
-def request_key(ask: CallerRequest, customer: Customer | None) -> str:
+def request_key(req: CallerRequest, customer: Customer | None) -> str:
     """Return the key of a request, a hash of its customer, path and body.
 
     The first half depends on the customer only. So no customer can produce the key of another
@@ -18,8 +18,8 @@
     for one request. Hashing a megabyte takes about 0.1 ms.
     """
     name = "" if customer is None else customer.name
-    target = b" ".join((ask.method, ask.host.lower().encode(), ask.path.encode()))
-    if not ask.body:
-        target = b" ".join((target, ask.target))  # without a body, the query tells requests apart
-    own = xxh3_64_intdigest(ask.body, seed=xxh3_64_intdigest(target))
+    target = b" ".join((req.method, req.host.lower().encode(), req.path.encode()))
+    if not req.body:
+        target = b" ".join((target, req.target))  # without a body, the query tells requests apart
+    own = xxh3_64_intdigest(req.body, seed=xxh3_64_intdigest(target))
     return f"{xxh3_64_hexdigest(name.encode())}{own:0{HEX_DIGITS}x}"
--- a/umberhitch/core/direct/_retry_budget.py
+++ b/umberhitch/core/direct/_retry_budget.py
@@ -6,8 +6,8 @@
 __all__ = ["RetryBudget", "RetryBudgetLimits"]
 
 USED_SHARE = 0.85
-"""Share of the budget that is used. Each router counts only its own requests, so the retries of all
-routers together may exceed the sum of the requests by chance."""
+"""Share of the budget that is used. Each router counts only its own requests, so that without this
+margin the retries of all routers together might exceed the budget by chance."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/umberhitch/core/direct/_token_latency.py
+++ b/umberhitch/core/direct/_token_latency.py
@@ -8,8 +8,8 @@
 
 FULL_SAMPLE_GAPS = 8
 MIN_GAPS = 2
-"""Gaps between events from which the latency of a finished stream is computed. A stream that
-goes on needs `FULL_SAMPLE_GAPS`."""
+"""Minimum number of gaps between events from which the latency of a finished stream is computed.
+For a stream that is still running, `FULL_SAMPLE_GAPS` are needed."""
 MIN_LATENCY_S = 0.0001
 """Shorter gaps arise from events that were received together."""
 
@@ -44,7 +44,7 @@
         self._count, self._at_s = count, now_s
 
     def inter_token_s(self, is_end: bool) -> float | None:
-        """Return the median seconds between events, or None with too few gaps (so far)."""
+        """Return the median seconds between events, or None while there are too few gaps."""
         needed = MIN_GAPS if is_end else FULL_SAMPLE_GAPS
         return median(self._gaps) if len(self._gaps) >= needed else None
 
--- a/umberhitch/core/direct/_types.py
+++ b/umberhitch/core/direct/_types.py
@@ -218,7 +218,7 @@
         Seconds that the caller waits for an answer.
     picks_model : bool
         Whether the router chooses the model.
-    last_event : bytes or None
+    last_event_id : bytes or None
         Id of the last event of a stream that the caller has received.
     """
 
@@ -255,7 +255,7 @@
         Whether the reply has the endpoint's signature; a complete success always has one.
     not_run : bool
         Whether the endpoint reports that it did not run the call and never will.
-    is_elsewhere : bool
+    is_wrong_incarnation : bool
         Whether another incarnation uses the address.
     confidence : int or None
         Confidence that the model declares in its answer, 0 to 100.
--- a/umberhitch/core/direct/tests/test_advertised_limits.py
+++ b/umberhitch/core/direct/tests/test_advertised_limits.py
@@ -71,8 +71,8 @@
 ):
     """The lists may have no router in common: those cut off from the store, and all others."""
     bound = RULES.bound(rate)
-    new = [f"r{each}" for each in sorted(one)]
-    old = [f"r{each}" for each in sorted(other)]
+    new = [f"r{number}" for number in sorted(one)]
+    old = [f"r{number}" for number in sorted(other)]
     shares = [_share(name, new) for name in new] + [_share(name, old, False) for name in old]
     for share in shares:
         share.update_registration(share.is_registered, 0.0)
@@ -115,14 +115,14 @@
 
 def test_an_unregistered_router_uses_its_last_list_for_a_minute_with_a_reduced_quota():
     share, bound = _share("r1", ["r1"]), RULES.bound(10.0)
-    whole = share.quota("e1", bound)
+    full_quota = share.quota("e1", bound)
     for second in range(60):
         share.update_registration(False, float(second))
     share.set_routers(["r1", "r2", "r3"])
     share.update_registration(False, 60.0)
     assert share.has_router_list(60.0)
     assert share.router_count == 1
-    assert 0.5 * whole <= share.quota("e1", bound) <= 0.6 * whole
+    assert 0.5 * full_quota <= share.quota("e1", bound) <= 0.6 * full_quota
     share.update_registration(False, 60.5)
     assert not share.has_router_list(60.5)
 
--- a/umberhitch/core/direct/tests/test_cascade.py
+++ b/umberhitch/core/direct/tests/test_cascade.py
@@ -63,7 +63,9 @@
 def test_the_confidence_threshold_is_lower_where_the_large_model_costs_much_of_the_value():
     thresholds = []
     for req in (make_request(800, 300), make_request(2400, 20)):
-        thresholds.append(max(each for each in range(101) if choose(each, req=req) is not None))
+        thresholds.append(
+            max(confidence for confidence in range(101) if choose(confidence, req=req) is not None)
+        )
     assert thresholds[0] > thresholds[1]
 
 
--- a/umberhitch/core/direct/tests/test_cold.py
+++ b/umberhitch/core/direct/tests/test_cold.py
@@ -66,7 +66,7 @@
 )
 def test_routers_with_two_lists_together_stay_within_the_bound(rate, one, other, seed):
     """The lists may have no router in common, as in a network partition of the fleet."""
-    shares = _shares([[f"r{each}" for each in sorted(names)] for names in (one, other)])
+    shares = _shares([[f"r{number}" for number in sorted(names)] for names in (one, other)])
     endpoint, rng = _endpoint(f"e{seed}"), Random(seed)
     bound = rate * LIMITS.overrun + LIMITS.slack
     times: list[float] = []
@@ -100,7 +100,9 @@
         for step in range(7):
             names.remove(rng.choice(names)) if step % 2 else names.append(f"n{number}.{step}")
             lists.append(list(names))
-        views = {name: rng.choice([each for each in lists if name in each]) for name in names}
+        views = {
+            name: rng.choice([routers for routers in lists if name in routers]) for name in names
+        }
         shares = [_share(name, view) for name, view in views.items()]
         sent = _send_all(shares, _endpoint(f"e{number}"), RATE, 0.0)
         assert sent <= BOUND
--- a/umberhitch/core/direct/tests/test_crash_record.py
+++ b/umberhitch/core/direct/tests/test_crash_record.py
@@ -54,7 +54,7 @@
         record = CrashRecord()
         for step in order:
             step(record)
-        found.add(tuple(sorted(each.lifetime for each in record.crashes(KEY))))
+        found.add(tuple(sorted(crash.lifetime for crash in record.crashes(KEY))))
     assert found == {("e5",)}
 
 
@@ -70,12 +70,12 @@
 def _crashed_lifetimes(notices: list[tuple[str, int, int]]) -> list[str]:
     """Return the lifetimes whose crashes count against a request after all notices."""
     record = CrashRecord()
-    for what, number, at in notices:
-        if what == "end":
+    for kind, number, at in notices:
+        if kind == "end":
             record.note_run_end(KEY, float(at))
         else:
             record.note_crash(KEY, Crash(f"e{number}.{at}", "svc/v1", float(at), at + 0.1))
-    return sorted(each.lifetime for each in record.crashes(KEY))
+    return sorted(crash.lifetime for crash in record.crashes(KEY))
 
 
 @given(NOTICES, st.integers(0, 1000))
--- a/umberhitch/core/direct/tests/test_directory.py
+++ b/umberhitch/core/direct/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Bans, sampling, draining and affinities in the directory."""
+"""Ejections, sampling, draining and affinities in the directory."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
     assert endpoint in directory.ready("svc", 0.7)
 
 
-def test_bans_are_ignored_where_all_endpoints_are_banned():
+def test_ejections_are_ignored_where_all_endpoints_are_ejected():
     directory = Directory()
     directory.put(make_endpoint_entry("e1"), 0.0)
     directory.get("e1").note_failure(0.0)
@@ -56,5 +56,5 @@
     directory.put(make_endpoint_entry("e1"), 0.0)
     directory.put(make_endpoint_entry("e2"), 0.0)
     directory.put(make_endpoint_entry("e1", state=EndpointState.DRAINING), 0.0)
-    assert [each.entry.incarnation for each in directory.ready("svc", 0.0)] == ["e2"]
+    assert [endpoint.entry.incarnation for endpoint in directory.ready("svc", 0.0)] == ["e2"]
     assert directory.affinity_endpoint("svc", "p").entry.incarnation == "e2"
--- a/umberhitch/core/direct/tests/test_lifetimes.py
+++ b/umberhitch/core/direct/tests/test_lifetimes.py
@@ -9,8 +9,8 @@
 
 def _directory(*born: int | None) -> Directory:
     directory = Directory()
-    for each in born:
-        directory.put(make_endpoint_entry("e1", born=each), 0.0)
+    for born_ms in born:
+        directory.put(make_endpoint_entry("e1", born=born_ms), 0.0)
     return directory
 
 
@@ -18,7 +18,7 @@
     return directory.get("e1").entry.born
 
 
-def test_a_new_lifetime_does_not_inherit_bans():
+def test_a_new_lifetime_does_not_inherit_ejections():
     directory = _directory(1000)
     before = directory.get("e1")
     before.note_failure(0.0)
@@ -60,7 +60,7 @@
     directory = _directory(1000, 7)
     directory.put(make_endpoint_entry("e1", born=1000), 1.0)
     directory.put(make_endpoint_entry("e1", born=1000), 2.2)
-    assert [each.lifetime for each in directory.sweep(1.0 + STALE_ENTRY_S)] == ["e1@7"]
+    assert [endpoint.lifetime for endpoint in directory.sweep(1.0 + STALE_ENTRY_S)] == ["e1@7"]
     assert _born(directory) == 1000
 
 
--- a/umberhitch/core/direct/tests/test_placement.py
+++ b/umberhitch/core/direct/tests/test_placement.py
@@ -49,7 +49,7 @@
     for endpoint in ENDPOINTS:
         directory.put(endpoint.entry, 0.0)
     found = directory.affinity_endpoint("svc", req.prompt[-2].part_id)
-    return next(each for each in ENDPOINTS if each.entry == found.entry)
+    return next(endpoint for endpoint in ENDPOINTS if endpoint.entry == found.entry)
 
 
 def test_plain_calls_spread_over_endpoints():
@@ -73,7 +73,7 @@
 def test_a_prefix_cache_attracts_a_call_and_a_queue_repels_it():
     placement = Placement("a")
     preferred = choose(placement, make_request())
-    other = next(each for each in ENDPOINTS if each is not preferred)
+    other = next(endpoint for endpoint in ENDPOINTS if endpoint is not preferred)
     placed = placement.place(other, make_request(), "large", MODELS, SERVICE, 0.0)
     placement.release(placed, False)
     assert choose(placement, make_request()) is other
@@ -87,7 +87,7 @@
 
 def test_a_call_crosses_zones_only_where_a_cached_prefix_saves_much():
     """A local prefill is preferred for a short prompt, the remote cache for a long one."""
-    remote = [Endpoint(replace(each.entry, zone="b")) for each in ENDPOINTS[1:]]
+    remote = [Endpoint(replace(endpoint.entry, zone="b")) for endpoint in ENDPOINTS[1:]]
     endpoints = [ENDPOINTS[0], *remote]
     chosen = []
     for shared in (1000, 30_000):
@@ -129,7 +129,7 @@
     placement.update_peer_load("e1", 3, 0.0, -1, 0.0)
     fresh = placement.choose_plain(endpoints, 0.0).endpoint
     stale = placement.choose_plain(endpoints, 60.0).endpoint
-    assert [each.entry.incarnation for each in (fresh, stale)] == ["e1", "e0"]
+    assert [endpoint.entry.incarnation for endpoint in (fresh, stale)] == ["e1", "e0"]
 
 
 def test_released_calls_leave_no_load():
@@ -137,7 +137,7 @@
     placed = [placement.place(ENDPOINTS[0], make_request(), "large", MODELS, SERVICE, 0.0)]
     placed.append(placement.place(ENDPOINTS[0], make_request("y"), "large", MODELS, SERVICE, 0.0))
     placement.note_reply_started(placed[0], 0.2)
-    for each in placed:
-        placement.release(each, None)
+    for call in placed:
+        placement.release(call, None)
     assert placement.own_load() == {}
     assert placement.running_calls("e0") == 0
--- a/umberhitch/core/direct/tests/test_token_latency.py
+++ b/umberhitch/core/direct/tests/test_token_latency.py
@@ -15,7 +15,7 @@
 
 
 def test_prefills_of_other_requests_make_no_stream_slow():
-    """By the mean gap, one good answer in twenty counted as slow and a good version was lost."""
+    """By the mean gap, one good answer in 20 counted as slow and a good version was rolled back."""
     found = _inter_token_s([GAP_S] * 3 + [12 * GAP_S] * 2 + [GAP_S] * 3)
     assert found is not None
     assert abs(found - GAP_S) < GAP_S / 100
--- a/umberhitch/core/direct/tests/test_zones.py
+++ b/umberhitch/core/direct/tests/test_zones.py
@@ -10,16 +10,16 @@
 PARTS = [f"p{number}" for number in range(200)]
 
 
-def _directory(zones: str = "abc", each: int = 4) -> Directory:
+def _directory(zones: str = "abc", per_zone: int = 4) -> Directory:
     directory = Directory()
     for zone in zones:
-        for number in range(each):
+        for number in range(per_zone):
             directory.put(make_endpoint_entry(f"{zone}{number}", zone=zone), 0.0)
     return directory
 
 
 def _zones(directory: Directory) -> set[str]:
-    return {each.entry.zone for each in directory.ready("svc", 1.0, Random(1))}
+    return {endpoint.entry.zone for endpoint in directory.ready("svc", 1.0, Random(1))}
 
 
 def _affinities(directory: Directory) -> dict[str, str]:
@@ -55,7 +55,7 @@
     assert "b9" not in _affinities(directory).values()
 
 
-def test_bans_of_all_others_do_not_enable_a_zone_out_of_service():
+def test_ejections_of_all_others_do_not_enable_a_zone_out_of_service():
     directory = _directory("ab", 1)
     directory.disable_zone("b", 0.0)
     directory.get("a0").note_failure(0.0)
@@ -76,7 +76,7 @@
         directory.disable_zone(f"z{number}", 0.0)
     assert _zones(directory) == {"a", "b", "c"}
     directory.put(make_endpoint_entry("late", zone="z7"), 1.0)
-    assert "late" not in {each.entry.incarnation for each in directory.ready("svc", 1.0)}
+    assert "late" not in {endpoint.entry.incarnation for endpoint in directory.ready("svc", 1.0)}
 
 
 def test_repeated_changes_of_a_zone_have_no_effect():
--- a/umberhitch/core/subsets.py
+++ b/umberhitch/core/subsets.py
@@ -85,8 +85,8 @@
 
     def _own_buckets(self, zone: str) -> frozenset[int]:
         """Return the buckets of agents in a zone that this router serves."""
-        same_zone = [name for name, where in self._zones.items() if where == zone]
-        other_zones = [name for name, where in self._zones.items() if where != zone]
+        same_zone = [name for name, router_zone in self._zones.items() if router_zone == zone]
+        other_zones = [name for name, router_zone in self._zones.items() if router_zone != zone]
         limits = self._limits
         if len(same_zone) < limits.same_zone:
             candidates, count = list(self._zones), limits.same_zone + limits.other_zones
--- a/umberhitch/core/tests/test_burn.py
+++ b/umberhitch/core/tests/test_burn.py
@@ -35,13 +35,13 @@
 
 
 def test_slices_of_several_routers_merge_exactly() -> None:
-    one, other, whole = BurnCounter(), BurnCounter(), BurnCounter()
+    one, other, combined = BurnCounter(), BurnCounter(), BurnCounter()
     for index in range(1000):
         counter = one if index % 3 else other
-        for target in (counter, whole):
+        for target in (counter, combined):
             target.count(NOW_S, "acme", "lookup", index % 10 > 0, index / 100)
     merged = burn_rows([*one.slices(), *other.slices()], OBJECTIVES, NOW_S)
-    assert merged == burn_rows(whole.slices(), OBJECTIVES, NOW_S)
+    assert merged == burn_rows(combined.slices(), OBJECTIVES, NOW_S)
 
 
 def test_a_class_without_an_objective_has_no_row() -> None:
--- a/umberhitch/platform/__init__.py
+++ b/umberhitch/platform/__init__.py
@@ -21,7 +21,7 @@
 
 CONFIGURATIONS = LargeRecords(CONFIG_KEY, skip_after_bytes=32 * 1024)
 """Only the newest of several configurations is read: over 5 Mbit/s, the last of 12 that are 0.33 s
-apart, 0.8 MB each, is in force after 1.6 s; after 11.6 s if each is read (virtual clock)."""
+apart, 0.8 MB each, is in force after 1.6 s; after 11.6 s if every one is read."""
 
 
 def make_operator_feed(store: StoreClient) -> KeyedFeed[OperatorValue]:
--- a/umberhitch/platform/_documents.py
+++ b/umberhitch/platform/_documents.py
@@ -164,7 +164,7 @@
     return Document(
         raw.version,
         tuple(map(_make_route, raw.routes)),
-        {each.name: _make_service(each) for each in raw.services},
+        {service.name: _make_service(service) for service in raw.services},
         {
             key_digest(key): Customer(tenant.name, tenant.priority)
             for tenant in raw.tenants
--- a/umberhitch/platform/_feed.py
+++ b/umberhitch/platform/_feed.py
@@ -23,7 +23,8 @@
 
 MAX_READ_KB = 1024
 MAX_LAST_READS = 4
-"""Reads of the last record while newer ones arrive, before the newest of every key is read."""
+"""Maximum number of reads of the last record while newer ones arrive. Then the newest record of
+every key is read."""
 LENGTH_PREFIX = struct.Struct(">I")
 """Precedes each record and holds its length in bytes."""
 OFFSETS = struct.Struct(">QQ")
@@ -37,7 +38,7 @@
     ----------
     key : str
         Key of the large records; the keys of all other records must sort after this one.
-    skip_bytes : int
+    skip_after_bytes : int
         If several records follow an offset, reading stops after this many bytes of them, since
         only the newest record is needed.
     """
@@ -55,8 +56,8 @@
     topic : str
     decode : callable
         Returns a record's value, or None for a record to ignore; raises `ConfigError`.
-    large : LargeRecords or None
-    broken_is_gone : bool
+    large_records : LargeRecords or None
+    invalid_deletes : bool
         Whether an invalid record deletes its key, so that all readers agree: a reader that starts
         now sees only the invalid record. Otherwise the key keeps its previous value.
     """
--- a/umberhitch/platform/_register.py
+++ b/umberhitch/platform/_register.py
@@ -20,6 +20,6 @@
 REGISTER = json.decode(
     Path(__file__).with_name("register.json").read_bytes(), type=dict[str, list[_RegisterEntry]]
 )
-HEADERS = [(each, each.name.lower().encode()) for each in REGISTER["headers"]]
-DROPPED_HEADERS = frozenset(name for each, name in HEADERS if each.is_dropped)
-REPLY_HEADERS = frozenset(name for each, name in HEADERS if each.where == "reply")
+HEADERS = [(entry, entry.name.lower().encode()) for entry in REGISTER["headers"]]
+DROPPED_HEADERS = frozenset(name for entry, name in HEADERS if entry.is_dropped)
+REPLY_HEADERS = frozenset(name for entry, name in HEADERS if entry.where == "reply")
--- a/umberhitch/platform/standins/__main__.py
+++ b/umberhitch/platform/standins/__main__.py
@@ -165,10 +165,10 @@
 def main(argv: list[str]) -> None:
     """Serve until killed."""
     platform = Platform(default_reactor)
-    found = {}
+    addresses = {}
     for name, app in (("store", platform.store.app), ("control", platform.app)):
-        _, found[name] = listen_http(default_reactor, app, ANY_PORT, MAX_BODY_BYTES)
-    print(json.encode(found).decode(), flush=True)
+        _, addresses[name] = listen_http(default_reactor, app, ANY_PORT, MAX_BODY_BYTES)
+    print(json.encode(addresses).decode(), flush=True)
     default_reactor.run()
 
 
--- a/umberhitch/platform/standins/_limited_link.py
+++ b/umberhitch/platform/standins/_limited_link.py
@@ -63,8 +63,8 @@
         match url.path:
             case "/-/log-read":
                 wait_s = int(query["waitMs"]) / 1000
-                found = self._store.wait_for_records(topic, 0, int(query["from"]), wait_s)
-                found.addCallback(running.start_response)
+                records = self._store.wait_for_records(topic, 0, int(query["from"]), wait_s)
+                records.addCallback(running.start_response)
             case "/-/log-newest":
                 running.start_response(
                     json.encode(self._store.newest_page(topic, query.get("after", "")))
--- a/umberhitch/platform/standins/client.py
+++ b/umberhitch/platform/standins/client.py
@@ -48,11 +48,11 @@
         "sizes": ["small", "large"],
     },
 ]
-COMPLETE_STREAM = b"".join(b"id: %d\ndata: e%d\n\n" % (each, each) for each in range(1, 5))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: e%d\n\n" % (number, number) for number in range(1, 5))
 
 COLD_START_S = 3.0
 MAX_WAIT_S = 40.0
-"""Seconds; far longer than any operation takes, so that a busy machine does not fail a test."""
+"""Seconds; much longer than any operation takes, so that a busy machine does not fail a test."""
 POLL_INTERVAL_S = 0.05
 LOOPBACK = "127.0.0.1:0"
 
@@ -122,7 +122,7 @@
 
     def endpoint_signals(self, kind: str) -> list[dict[str, Any]]:
         """Return the endpoint signals of one kind that the router knows."""
-        return [each for each in self.status()["endpoint_signals"] if each["signal"] == kind]
+        return [row for row in self.status()["endpoint_signals"] if row["signal"] == kind]
 
     def burn_report(self) -> dict[str, Any]:
         """Return the burn report."""
@@ -174,8 +174,8 @@
         command = [sys.executable, "-m", "umberhitch.platform.standins"]
         self._process = subprocess.Popen(command, stdout=subprocess.PIPE)
         assert self._process.stdout is not None
-        found = json.decode(self._process.stdout.readline())
-        self.store, self._control = found["store"], found["control"]
+        addresses = json.decode(self._process.stdout.readline())
+        self.store, self._control = addresses["store"], addresses["control"]
 
     def close(self) -> None:
         """Kill the stand-in platform and all its routers."""
--- a/umberhitch/platform/tests/limited_links.py
+++ b/umberhitch/platform/tests/limited_links.py
@@ -45,7 +45,7 @@
 
 def encode_configuration(number: int, routes: int) -> bytes:
     """Return an encoded configuration; only this one has the route ``/n{number}/``."""
-    route_list = [_route(each, f"/p{each:05}/") for each in range(routes)]
+    route_list = [_route(index, f"/p{index:05}/") for index in range(routes)]
     route_list.append(_route(routes, f"/n{number}/"))
     return json.encode(
         {
--- a/umberhitch/platform/tests/test_entries.py
+++ b/umberhitch/platform/tests/test_entries.py
@@ -53,7 +53,7 @@
 
 
 def _raw(*records: bytes) -> bytes:
-    body = b"".join(struct.pack(">I", len(each)) + each for each in records)
+    body = b"".join(struct.pack(">I", len(record)) + record for record in records)
     return struct.pack(">QQ", len(records), 0) + body
 
 
@@ -103,7 +103,7 @@
     assert entry.cold_s == cold_s
 
 
-@pytest.mark.parametrize("entry", INVALID, ids=lambda each: str(sorted(each.items()))[:60])
+@pytest.mark.parametrize("entry", INVALID, ids=lambda entry: str(sorted(entry.items()))[:60])
 def test_an_invalid_entry_is_reported_with_its_key(entry):
     with pytest.raises(ConfigError, match="i-1"):
         decode_endpoint("i-1", json.encode(entry))
--- a/umberhitch/platform/tests/test_large_documents.py
+++ b/umberhitch/platform/tests/test_large_documents.py
@@ -123,4 +123,4 @@
     assert world.network.bytes - sent_bytes < 10_000
     requests = [world.ask(world.routers["r1"], path) for path in ("/n2/x", "/p00007/x", "/n1/x")]
     world.run(0.1)
-    assert [each.status for each in requests] == [200, 200, 404]
+    assert [req.status for req in requests] == [200, 200, 404]
--- a/umberhitch/platform/tests/test_processes.py
+++ b/umberhitch/platform/tests/test_processes.py
@@ -102,11 +102,11 @@
 
 
 def _reaches_only(platform: LocalPlatform, router: RouterProcess, name: str) -> bool:
-    before = {each: len(platform.runs(each)) for each in ("e1", "e2")}
+    before = {endpoint: len(platform.runs(endpoint)) for endpoint in ("e1", "e2")}
     for number in range(4):
         router.send_request("/look/x", f"d{number}", "k2")
-    after = {each: len(platform.runs(each)) for each in ("e1", "e2")}
-    return all(after[each] == before[each] for each in after if each != name)
+    after = {endpoint: len(platform.runs(endpoint)) for endpoint in ("e1", "e2")}
+    return all(after[endpoint] == before[endpoint] for endpoint in after if endpoint != name)
 
 
 def test_a_refusal_did_not_run_and_says_when_to_retry(platform):
@@ -232,9 +232,11 @@
 def _knows_limit(routers: list[RouterProcess], rates: list[float]) -> bool:
     """Send calls so that routers see the endpoint's replies; return whether all know its limit."""
     for router in routers:
-        router.send_request("/look/x", f"hear-{monotonic()}", API_KEY)
-        router.send_request("/draft/x", f"hear-{monotonic()}", API_KEY, model="small")
-    return all([row["rate"] for row in each.endpoint_signals("limit")] == rates for each in routers)
+        router.send_request("/look/x", f"poll-{monotonic()}", API_KEY)
+        router.send_request("/draft/x", f"poll-{monotonic()}", API_KEY, model="small")
+    return all(
+        [row["rate"] for row in router.endpoint_signals("limit")] == rates for router in routers
+    )
 
 
 def test_endpoints_that_signal_draining_or_backoff_receive_no_more_requests(platform):
@@ -256,7 +258,7 @@
         )
 
     def send_draft(number: int) -> None:
-        call_id = f"hear-{number}-{monotonic()}"
+        call_id = f"poll-{number}-{monotonic()}"
         routers[number % 2].send_request("/draft/x", call_id, API_KEY, model="small")
 
     wait_until(all_routers_know)
--- a/umberhitch/platform/tests/test_register.py
+++ b/umberhitch/platform/tests/test_register.py
@@ -16,7 +16,7 @@
 
 
 def _names(kind: str, *uses: str) -> set[str]:
-    return {each.name.lower() for each in REGISTER[kind] if each.use in uses}
+    return {entry.name.lower() for entry in REGISTER[kind] if entry.use in uses}
 
 
 def _in_code() -> set[str]:
@@ -33,7 +33,7 @@
 
 
 def test_no_header_is_listed_twice_for_one_direction():
-    named = [(each.name.lower(), each.where) for each in REGISTER["headers"]]
+    named = [(entry.name.lower(), entry.where) for entry in REGISTER["headers"]]
     assert len(named) == len(set(named))
 
 
@@ -47,4 +47,4 @@
 
 
 def test_each_entry_has_a_reason():
-    assert all(each.why for kind in REGISTER.values() for each in kind)
+    assert all(entry.why for kind in REGISTER.values() for entry in kind)
--- a/umberhitch/ports/__init__.py
+++ b/umberhitch/ports/__init__.py
@@ -52,8 +52,8 @@
 def __getattr__(name: str) -> object:
     """Import a name of ``__all__`` on first access (PEP 562)."""
     if name in __all__:
-        for each in MODULES:
-            module = import_module(f"{__name__}.{each}")
+        for module_name in MODULES:
+            module = import_module(f"{__name__}.{module_name}")
             if hasattr(module, name):
                 return getattr(module, name)
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/umberhitch/wire/_messages.py
+++ b/umberhitch/wire/_messages.py
@@ -138,7 +138,7 @@
 
 
 class Start(Struct, frozen=True, array_like=True, tag="start"):
-    """Run an attempt; resent until `AttemptAccepted`, idempotent through the agent's ledger."""
+    """Request to run an attempt; resent until `AttemptAccepted`, idempotent by the ledger."""
 
     attempt: AttemptId
     agent_incarnation: int
@@ -157,14 +157,14 @@
 
 
 class Cancel(Struct, frozen=True, array_like=True, tag="cancel"):
-    """Stop the attempt, or permanently refuse it if it has not started."""
+    """Request to stop an attempt, or to refuse it permanently if it has not started."""
 
     attempt: AttemptId
     agent_incarnation: int
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag="fetch"):
-    """Resend the answer from an offset on, including its end if the attempt has ended."""
+    """Request to resend an answer from an offset on, with its end if the attempt has ended."""
 
     attempt: AttemptId
     offset: int
@@ -198,7 +198,7 @@
 
 
 class Withdrawal(Struct, frozen=True, array_like=True, tag="stop"):
-    """Send no new work to a version, in advance of the record in the log.
+    """Request to send no new work to a version, in advance of the record in the log.
 
     The withdrawal is in force until the configuration has a newer entry for the version, or rejects
     the change.
@@ -329,7 +329,7 @@
 
 
 class RouterDigest(Struct, frozen=True, array_like=True, tag="digest"):
-    """Gossip between routers: the sender's revision, and thereby a request for what it lacks."""
+    """Gossip between routers: the sender's revision, which also requests what the sender lacks."""
 
     router: str
     incarnation: int
@@ -376,7 +376,7 @@
 
 
 class CanaryUpdate(Struct, frozen=True, array_like=True, tag="moved"):
-    """Changes of a roll-out that are sent to all routers at once; the reports repeat them."""
+    """Changes of a roll-out, sent to all routers immediately; `CanaryReport` repeats them."""
 
     service: str
     target: str
@@ -474,7 +474,7 @@
     """Lifetime of the endpoint, so that a late report does not apply to a later lifetime."""
     running: int
     reading_s: float
-    """Prefill work not yet done, in seconds of the endpoint's time."""
+    """Outstanding prefill work, in seconds of the endpoint's time."""
     rank: int = -1
     """Rank of the largest model in a long prefill, 0 for a route's smallest model; -1 for none."""
 
@@ -489,7 +489,10 @@
     offset: int
     hold_s: float
     is_held_during_outage: bool = False
-    """Whether to hold the request in an outage of the store, unreadable to the sender too."""
+    """Whether to hold the request also in an outage of the store.
+
+    The sender can't read the store during the outage either.
+    """
 
 
 class ViewReply(Struct, frozen=True, array_like=True, tag="view"):
