--- a/umberhitch/tasks/appender.py
+++ b/umberhitch/tasks/appender.py
@@ -1,7 +1,7 @@
-"""Group commit: appends small records in batches, one batch at a time, until they are in the log.
+"""Group commit: appends small records to the log in batches, one batch at a time.
 
-A batch whose acknowledgement was lost is resent. The log may thus contain a record twice;
-readers recognise duplicates by the records' own identifiers.
+A record is kept until it is in the log: a batch whose acknowledgement was lost is resent. The log
+may thus contain a record twice; readers recognise duplicates by the records' own identifiers.
 """
 
 from collections import deque
--- a/umberhitch/tasks/attempts.py
+++ b/umberhitch/tasks/attempts.py
@@ -220,7 +220,7 @@
         return open_attempt
 
     def cancel(self, open_attempt: OpenAttempt, reason: Reason = Reason.CANCELLED) -> None:
-        """Ask the agent to refuse or stop the attempt; its outcome is still reported to waiters."""
+        """Tell the agent to refuse or stop the attempt; waiters still receive the outcome."""
         if open_attempt.phase in (AttemptPhase.CANCELLING, AttemptPhase.ENDED):
             return
         open_attempt.phase = AttemptPhase.CANCELLING
--- a/umberhitch/tasks/burn.py
+++ b/umberhitch/tasks/burn.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnContext:
-    """What a `BurnTask` needs from its router.
+    """Functions of the router that a `BurnTask` uses.
 
     Attributes
     ----------
@@ -90,7 +90,7 @@
         self._context = context
         self._clock = clock
         self._wall_s = wall_s
-        self._book = BurnCounter(has_latencies=has_latencies)
+        self._counter = BurnCounter(has_latencies=has_latencies)
         self._last_request_id = 0
         self._replies: dict[int, dict[str, list[BurnSlice]]] = {}
 
@@ -107,7 +107,7 @@
         objective = self._context.objectives().get(klass)
         if objective is not None:
             is_good = is_done and latency_s <= objective[1]
-            self._book.count(self._wall_s(), customer, klass, is_good, latency_s)
+            self._counter.count(self._wall_s(), customer, klass, is_good, latency_s)
 
     async def report(self) -> BurnReport:
         """Return the burn rates, with the counts gathered from all live routers."""
@@ -121,14 +121,14 @@
             await pause(self._clock, GATHER_TIMEOUT_S)
         replies = self._replies.pop(request_id)
         own = self._context.name
-        slices = self._book.slices() + [part for parts in replies.values() for part in parts]
+        slices = self._counter.slices() + [part for parts in replies.values() for part in parts]
         rows = burn_rows(slices, self._context.objectives(), self._wall_s())
         missing = sorted(set(peers) - set(replies))
         return BurnReport(rows, sorted([own, *replies]), missing)
 
     def handle_request(self, sender: str, request: BurnRequest) -> None:
         """Send this router's counts to a router that requests them."""
-        self._context.send(sender, BurnReply(request.request_id, self._book.slices()))
+        self._context.send(sender, BurnReply(request.request_id, self._counter.slices()))
 
     def handle_reply(self, sender: str, reply: BurnReply) -> None:
         """Store the counts that a peer sent, if the report still waits for them."""
--- a/umberhitch/tasks/direct/admission.py
+++ b/umberhitch/tasks/direct/admission.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     view : StoreView
-    trials : CanaryController
+    canary_controller : CanaryController
     clock : Clock
     rng : Random
     proof_age_s : float
@@ -53,7 +53,7 @@
     def __init__(
         self,
         view: StoreView,
-        trials: CanaryController,
+        canary_controller: CanaryController,
         clock: Clock,
         rng: Random,
         proof_age_s: float,
@@ -61,7 +61,7 @@
         is_strict: bool,
     ) -> None:
         self._view = view
-        self._trials = trials
+        self._canary_controller = canary_controller
         self._clock = clock
         self._rng = rng
         self._proof_age_s = proof_age_s
@@ -103,7 +103,7 @@
         now_s = self._clock.seconds()
         ready = self._view.directory.ready(service, now_s, self._rng)
         is_light = req.prompt_tokens < MAX_LIGHT_TOKENS
-        wants = self._trials.wants_target(service, req.session, now_s, ready, is_light)
+        wants = self._canary_controller.wants_target(service, req.session, now_s, ready, is_light)
         key = request_key(req, customer)
         return AdmittedRequest(req, route, service, customer, received_s, wants, key)
 
--- a/umberhitch/tasks/direct/canary_controller.py
+++ b/umberhitch/tasks/direct/canary_controller.py
@@ -1,8 +1,8 @@
 """Controls the canary roll-outs of the direct path and chooses the version for each request.
 
-Every router does so on its own. The decisions follow from evidence that all routers share, and they
-only change toward a later state or against a version. `tasks/direct/stored_states` describes how a
-decision is written to the store.
+Every router does so on its own. The decisions follow from evidence that all routers share, and
+change in one direction only: to a later state, or against a version. `tasks/direct/stored_states`
+describes how a decision is written to the store.
 """
 
 from collections import OrderedDict
@@ -36,8 +36,8 @@
 """Maximum number of sessions on the old version in a report. About 8 % of the sessions of the last
 seconds at one router are reported."""
 MAX_MOVED_SESSIONS = 400
-"""Maximum number of sessions in a report that moved to the new version during the load test. They
-are reported for the timeout of a session."""
+"""Maximum number of sessions in a report that moved to the new version during the load test. Each
+is reported until its session times out."""
 HASH_RANGE = 1 << 64
 
 
@@ -131,7 +131,7 @@
     def retain(self, orders: list[RolloutOrder]) -> None:
         """Forget all orders that are not among the given ones."""
         retained = {order.service for order in orders}
-        for service in [each for each in self._canaries if each not in retained]:
+        for service in [name for name in self._canaries if name not in retained]:
             self.drop(service)
 
     def is_any_in_progress(self) -> bool:
@@ -196,7 +196,7 @@
         canary = self._canaries.get(service)
         if canary is not None:
             has_target = self._states.is_earlier_decision_known(service) and any(
-                each.entry.version == canary.order.target for each in endpoints
+                endpoint.entry.version == canary.order.target for endpoint in endpoints
             )
             is_within = self._is_within_exposure(canary, endpoints, now_s)
             chosen = canary.routes_to_target(session, draw, now_s, has_target, is_light, is_within)
@@ -230,8 +230,12 @@
         if now_s - at_s < UPDATE_INTERVAL_S:
             return is_within
         target = canary.order.target
-        new = sum(self.running_calls(e.lifetime) for e in endpoints if e.entry.version == target)
-        both = sum(self.running_calls(each.lifetime) for each in endpoints)
+        new = sum(
+            self.running_calls(endpoint.lifetime)
+            for endpoint in endpoints
+            if endpoint.entry.version == target
+        )
+        both = sum(self.running_calls(endpoint.lifetime) for endpoint in endpoints)
         is_within = canary.is_within_exposure(now_s, new, both - new)
         self._exposure_checks[canary.order.service] = (now_s, is_within)
         return is_within
@@ -258,8 +262,8 @@
         if canary is None:
             return endpoints
         target = canary.order.target
-        new = [each for each in endpoints if each.entry.version == target]
-        old = [each for each in endpoints if each.entry.version != target]
+        new = [endpoint for endpoint in endpoints if endpoint.entry.version == target]
+        old = [endpoint for endpoint in endpoints if endpoint.entry.version != target]
         match canary.state:
             case RolloutState.ROLLED_BACK:
                 return old
@@ -268,7 +272,7 @@
         if not wants_target:
             return old or new
         if is_light and new and canary.is_load_testing(self._clock.seconds()):
-            loaded = min(new, key=lambda each: _hash_fraction(each.lifetime))
+            loaded = min(new, key=lambda endpoint: _hash_fraction(endpoint.lifetime))
             limit = canary.limits.full_load * (loaded.entry.slots or 0)
             if self.running_calls(loaded.lifetime) < limit:
                 return [loaded]
@@ -312,8 +316,8 @@
                 now_s - canary.started_s,
                 canary.state,
                 [
-                    _route_counts(is_target, route, each)
-                    for (is_target, route), each in canary.own_counts.items()
+                    _route_counts(is_target, route, counts)
+                    for (is_target, route), counts in canary.own_counts.items()
                 ],
                 canary.pinned_sessions(now_s)[:MAX_PINNED_SESSIONS],
                 canary.is_load_tested,
@@ -364,15 +368,15 @@
                 continue
             canary.started_s = min(canary.started_s, self._clock.seconds() - report.elapsed_s)
             counts = {
-                (each.is_target, each.route): AnswerCounts(
-                    each.answers,
-                    each.failed,
-                    each.broken,
-                    each.paced,
-                    each.slow,
-                    set(each.endpoints),
+                (entry.is_target, entry.route): AnswerCounts(
+                    entry.answers,
+                    entry.failed,
+                    entry.broken,
+                    entry.paced,
+                    entry.slow,
+                    set(entry.endpoints),
                 )
-                for each in report.counts
+                for entry in report.counts
             }
             canary.set_router_counts(router, counts)
             canary.is_load_tested |= report.was_fully_loaded
--- a/umberhitch/tasks/direct/change_log.py
+++ b/umberhitch/tasks/direct/change_log.py
@@ -22,7 +22,7 @@
     key: str
     encoded: Any
     """The encoded change, None if it is too large."""
-    was_away: bool
+    is_after_outage: bool
 
 
 class ChangeLog(Generic[Value]):
@@ -56,7 +56,7 @@
         self,
         batch: FeedBatch[Value],
         is_snapshot: bool,
-        was_away: bool,
+        is_after_outage: bool,
         is_serving: bool,
         max_bytes: float,
     ) -> None:
@@ -67,8 +67,8 @@
         batch : FeedBatch
         is_snapshot : bool
             Whether the batch has the newest record of every key; other keys were removed.
-        was_away : bool
-            Whether the store was unavailable.
+        is_after_outage : bool
+            Whether the store was unavailable shortly before the batch.
         is_serving : bool
             Whether this router serves peers: changes that are expensive to encode are kept only
             then.
@@ -88,7 +88,7 @@
                 continue
             if is_kept:
                 encoded = self._encoder.encode(record.key, known, record.value, max_bytes)
-                self._changes.append(_Change(batch.end, record.key, encoded, was_away))
+                self._changes.append(_Change(batch.end, record.key, encoded, is_after_outage))
             self._update_value(record)
         if not is_kept:
             self._clear_changes(batch.end)
@@ -115,8 +115,10 @@
 
     def add_changes_to_reply(self, reply: ViewReply, offset: int) -> ViewReply:
         """Return a reply with the changes since a covered offset."""
-        changes = [each for each in self._changes if each.end > offset]
+        changes = [change for change in self._changes if change.end > offset]
         if not changes:
             return reply
-        reply = self._encoder.add_to_reply(reply, [(each.key, each.encoded) for each in changes])
-        return replace(reply, is_after_outage=any(each.was_away for each in changes))
+        reply = self._encoder.add_to_reply(
+            reply, [(change.key, change.encoded) for change in changes]
+        )
+        return replace(reply, is_after_outage=any(change.is_after_outage for change in changes))
--- a/umberhitch/tasks/direct/crash_guard.py
+++ b/umberhitch/tasks/direct/crash_guard.py
@@ -82,7 +82,7 @@
         lease_s: float,
         on_decision: Callable[[float | None], None],
     ) -> None:
-        """Request a probe of a held request; see `Probing.ask`.
+        """Request a probe of a held request; see `Probing.request_probe`.
 
         The endpoint's listener is checked first, so that none of the few probes is spent on an
         endpoint that can't be reached.
@@ -119,7 +119,7 @@
             del self._running[run.admitted.request_key]
 
     def _is_running(self, run: Run) -> bool:
-        return any(each is run for each in self._running.get(run.admitted.request_key, ()))
+        return any(other is run for other in self._running.get(run.admitted.request_key, ()))
 
     def record_head(self, run: Run) -> None:
         """Record the head of a call's reply."""
--- a/umberhitch/tasks/direct/crash_sharing.py
+++ b/umberhitch/tasks/direct/crash_sharing.py
@@ -21,8 +21,8 @@
 log = getLogger(__name__)
 
 MAX_CRASHES_PER_MESSAGE = 512
-"""Maximum number of crashes in one message, of about 0.1 kB each. They suffice for a third of the
-requests that run in a zone."""
+"""Maximum number of crashes in one message, of about 0.1 kB each: a third of the number of requests
+that run in a zone."""
 MAX_RESENT_REQUESTS = 4
 """Number of requests whose notices are resent at a time, in turn; they take under 1 kB."""
 RESEND_S = 30.0
@@ -46,7 +46,7 @@
         Returns the names of the other routers.
     send : callable
         Sends a message to one of the other routers.
-    on_news : callable
+    on_update : callable
         Called when there is an update to send to the peers at once.
     on_held : callable
         Called with the key of a request when it becomes held.
@@ -142,7 +142,7 @@
 
     def all_updates(self) -> list[CrashUpdate]:
         """Return all notices for a new router, those of the requests with most crashes first."""
-        keys = sorted(self.record.suspects(), key=lambda each: -len(self.record.crashes(each)))
+        keys = sorted(self.record.suspects(), key=lambda key: -len(self.record.crashes(key)))
         return self._make_updates(keys)
 
     def updates_to_resend(self) -> list[CrashUpdate]:
@@ -170,9 +170,9 @@
         now_s = self._clock.seconds()
         max_crashes = self.record.limits.crashes
         crashes = [
-            self._crash_notice(key, each)
+            self._crash_notice(key, crash)
             for key in keys
-            for each in self.record.crashes(key)[:max_crashes]
+            for crash in self.record.crashes(key)[:max_crashes]
         ]
         probes = []
         for key in keys:
@@ -230,7 +230,7 @@
     def _send_refutation(self, key: str) -> None:
         """Notify the peers, through the arbiter, that the request has completed since.
 
-        So not every router sends a message to every other one.
+        The arbiter passes this on, so that not every router sends a message to every other one.
         """
         arbiter = self.arbiter(key)
         if arbiter == self._name:
@@ -259,10 +259,10 @@
             extra={
                 "key": key,
                 "source": source,
-                "endpoints": [each.lifetime for each in crashes],
-                "places": sorted({each.service_version for each in crashes}),
-                "run_s": [round(each.crashed_s - each.started_s, 3) for each in crashes],
-                "age_s": [round(now_s - each.crashed_s, 3) for each in crashes],
+                "endpoints": [crash.lifetime for crash in crashes],
+                "places": sorted({crash.service_version for crash in crashes}),
+                "run_s": [round(crash.crashed_s - crash.started_s, 3) for crash in crashes],
+                "age_s": [round(now_s - crash.crashed_s, 3) for crash in crashes],
             },
         )
         self.on_held(key)
--- a/umberhitch/tasks/direct/crash_watch.py
+++ b/umberhitch/tasks/direct/crash_watch.py
@@ -93,7 +93,7 @@
         self._exited.pop(lifetime, None)
         calls = self._finished.get(lifetime)
         if calls:
-            self._set_finished(lifetime, [each for each in calls if each.finished_s >= run.sent_s])
+            self._set_finished(lifetime, [call for call in calls if call.finished_s >= run.sent_s])
 
     def record_cancelled(self, run: Run) -> None:
         """Record that this router cancelled a call, which may still crash its endpoint."""
@@ -126,7 +126,7 @@
         others = self._finished.get(lifetime, [])
         oldest_s = call.finished_s - FINISHED_CALL_KEPT_S
         self._set_finished(
-            lifetime, [*(each for each in others if each.finished_s > oldest_s), call]
+            lifetime, [*(other for other in others if other.finished_s > oldest_s), call]
         )
 
     def _set_finished(self, lifetime: str, calls: list[_FinishedCall]) -> None:
@@ -152,10 +152,10 @@
 
     def _count_against_version(self, lifetime: str) -> None:
         """Count broken calls against the version, as the endpoint is alive or can't be reached."""
-        for each in self._finished.get(lifetime, []):
-            if not each.is_exempt and not each.is_counted:
-                each.is_counted = True
-                self._on_verdict(each.run, AnswerVerdict.BROKEN)
+        for call in self._finished.get(lifetime, []):
+            if not call.is_exempt and not call.is_counted:
+                call.is_counted = True
+                self._on_verdict(call.run, AnswerVerdict.BROKEN)
 
     def record_exit(self, endpoint: Endpoint) -> None:
         """Record that the process of an endpoint has exited."""
@@ -166,7 +166,7 @@
         if len(self._exited) > MAX_EXITED_LIFETIMES:
             self._exited.popitem(last=False)
         oldest_s = self._clock.seconds() - FINISHED_CALL_KEPT_S
-        calls = [each for each in self._finished.pop(lifetime, []) if each.finished_s > oldest_s]
+        calls = [call for call in self._finished.pop(lifetime, []) if call.finished_s > oldest_s]
         if endpoint.is_draining or not calls:
             return
         self.crashes += 1
@@ -175,15 +175,15 @@
             extra={
                 "endpoint": lifetime,
                 "under_way": len(calls),
-                "keys": [each.run.admitted.request_key for each in calls[:8]],
-                "oldest_run_s": round(max(each.finished_s - each.run.sent_s for each in calls), 3),
+                "keys": [call.run.admitted.request_key for call in calls[:8]],
+                "oldest_run_s": round(max(call.finished_s - call.run.sent_s for call in calls), 3),
             },
         )
         self._count_crash_against_version(calls)
-        has_older = any(_may_have_run(each) for each in calls)
-        for each in calls:
-            if _may_have_run(each) or not has_older:
-                self._report_crash(each)
+        has_older = any(_may_have_run(call) for call in calls)
+        for call in calls:
+            if _may_have_run(call) or not has_older:
+                self._report_crash(call)
 
     def _count_crash_against_version(self, calls: list[_FinishedCall]) -> None:
         """Count a crash as one broken answer of the version, not as one for each call.
@@ -191,11 +191,11 @@
         The crash isn't counted if a suspect request was running: then the request probably caused
         it, and the version may be good.
         """
-        if any(self._record.is_suspect(each.run.admitted.request_key) for each in calls):
+        if any(self._record.is_suspect(call.run.admitted.request_key) for call in calls):
             return
-        for each in calls:
-            if not each.is_exempt and not each.is_counted:
-                self._on_verdict(each.run, AnswerVerdict.BROKEN)
+        for call in calls:
+            if not call.is_exempt and not call.is_counted:
+                self._on_verdict(call.run, AnswerVerdict.BROKEN)
                 return
 
     def _report_crash(self, call: _FinishedCall) -> None:
--- a/umberhitch/tasks/direct/endpoint_selector.py
+++ b/umberhitch/tasks/direct/endpoint_selector.py
@@ -39,7 +39,7 @@
     Parameters
     ----------
     view : StoreView
-    trials : CanaryController
+    canary_controller : CanaryController
     placement : Placement
     budget : RetryBudget
     cascade : Cascade
@@ -53,7 +53,7 @@
     def __init__(
         self,
         view: StoreView,
-        trials: CanaryController,
+        canary_controller: CanaryController,
         placement: Placement,
         budget: RetryBudget,
         cascade: Cascade,
@@ -64,7 +64,7 @@
         rng: Random,
     ) -> None:
         self._view = view
-        self._trials = trials
+        self._canary_controller = canary_controller
         self._placement = placement
         self._budget = budget
         self._cascade = cascade
@@ -177,13 +177,13 @@
         now_s = self._clock.seconds()
         affinity_endpoint = self._affinity_endpoint(admitted)
         ready = self._open_endpoints(admitted, affinity_endpoint)
-        eligible = [each for each in ready if each.lifetime not in tried]
+        eligible = [endpoint for endpoint in ready if endpoint.lifetime not in tried]
         within_quota = self._with_quota(admitted, eligible)
         is_quota_used_up = bool(eligible) and not within_quota
         is_closed = not ready and bool(self._view.directory.ready(admitted.service, now_s))
         self.failure_reason = NO_QUOTA if is_quota_used_up or is_closed else NO_ENDPOINT
         is_light = admitted.request.prompt_tokens < MAX_LIGHT_TOKENS
-        eligible = self._trials.allowed_endpoints(
+        eligible = self._canary_controller.allowed_endpoints(
             admitted.service, admitted.wants_target, within_quota, is_light
         )
         if not eligible:
--- a/umberhitch/tasks/direct/feeds.py
+++ b/umberhitch/tasks/direct/feeds.py
@@ -1,8 +1,8 @@
 """Follows the keyed streams of the platform's store: configuration, roll-outs, endpoints.
 
-Each feed is a loop with one call at a time. Its proof of freshness is the time at which the last
-answered call was sent: a record that was missing then was acknowledged later. If the store held the
-call for the whole wait and there was no record, the proof is the end of that wait; see
+Each feed is a loop with one call at a time. The time at which the last answered call was sent is
+the proof of freshness: all records acknowledged before that time have been read. If the store held
+the call for the whole wait and there was no record, the proof is the end of that wait; see
 `tasks/direct/read_sharing`.
 """
 
@@ -24,7 +24,7 @@
 Value = TypeVar("Value")
 
 FRESHNESS_MARGIN_S = 1.0
-"""A view that is older than the maximum hold time by more than this is not fresh: the process was
+"""A view whose age exceeds the maximum hold time by more than this is not fresh: the process was
 frozen."""
 FROZEN_MARGIN_S = 0.3
 """A call that exceeds its time limit by more than this was not late: the process was frozen."""
@@ -78,7 +78,7 @@
     on_snapshot : callable
         Called with the newest record of every key; keys that are not in it were removed.
     on_changes : callable
-        Called with further records, and with whether the store was unavailable lately.
+        Called with further records, and with whether the store was unavailable recently.
 
     Attributes
     ----------
@@ -90,7 +90,7 @@
         Time since which newer records are known to exist that have not been applied.
     on_applied : callable
         Called after each batch with the batch, whether it is a snapshot of all keys, and whether
-        the store was unavailable lately.
+        the store was unavailable recently.
     """
 
     def __init__(
@@ -151,7 +151,7 @@
             timeout_s = self._timing.timeouts_s[failures % len(self._timing.timeouts_s)]
             try:
                 if is_loaded:
-                    # With a fresh view let the store hold the call, else get the state at once.
+                    # The store may hold the call if the view is fresh; else the state is urgent.
                     wait_s = self._timing.wait_s if self._is_fresh() else 0.0
                     batch = await self._port.since(self.offset, wait_s, timeout_s)
                 else:
@@ -186,16 +186,16 @@
     def _apply(self, batch: FeedBatch[Value], is_change: bool, called_s: float) -> None:
         if self._is_stopped:
             return
-        was_away = batch.is_after_outage or self._has_recovered_lately()
+        is_after_outage = batch.is_after_outage or self._has_recovered_recently()
         if is_change:
-            self._on_changes(batch, was_away)
+            self._on_changes(batch, is_after_outage)
         else:
             self._on_snapshot(batch)
         self.offset = batch.end
         self.behind_since_s = None
         proved_s = called_s if batch.as_of_s is None else batch.as_of_s
         self.proved_s = proved_s if self.proved_s is None else max(self.proved_s, proved_s)
-        self.on_applied(batch, not is_change, was_away)
+        self.on_applied(batch, not is_change, is_after_outage)
 
     def _was_frozen(self, called_s: float, timeout_s: float) -> bool:
         max_duration_s = self._timing.wait_s + timeout_s + FROZEN_MARGIN_S
@@ -211,7 +211,7 @@
         """Whether the last call failed."""
         return self._failed_since_s is not None
 
-    def _has_recovered_lately(self) -> bool:
+    def _has_recovered_recently(self) -> bool:
         return self._clock.seconds() - self._recovered_s < self.LAPSE_GRACE_S
 
     def _note_failure(self, exc: LogError) -> None:
@@ -227,5 +227,5 @@
             log.info("store regained", extra={"feed": self.name, "away_s": round(away_s, 3)})
 
 
-def _ignore_batch(batch: FeedBatch[Any], is_snapshot: bool, was_away: bool) -> None:
+def _ignore_batch(batch: FeedBatch[Any], is_snapshot: bool, is_after_outage: bool) -> None:
     """Do nothing, as no callback is set."""
--- a/umberhitch/tasks/direct/gateway.py
+++ b/umberhitch/tasks/direct/gateway.py
@@ -158,7 +158,7 @@
             self.selector,
             self.crash_guard,
             self.local_replies.send,
-            self._begin,
+            self._start_request,
         )
 
     # Lifecycle
@@ -226,7 +226,7 @@
         self.counters.requests += 1
         return self._intake.handle(raw, reply)
 
-    def _begin(
+    def _start_request(
         self, admitted: AdmittedRequest, reply: CallerReply, is_probe: bool
     ) -> Callable[[], None]:
         """Start proxying a request; return the function to call if the caller disconnects."""
@@ -284,7 +284,8 @@
     ) -> AnswerVerdict:
         """Record a latency measured from ``since_s`` on, and return the verdict on the answer.
 
-        The latency is compared with the usual one of calls during which the endpoint processed
+        The latency is compared with that of earlier answers of the service: those of the same
+        route, or, if the call has a model, those of the same model while the endpoint processed
         prompts for a model of the same size.
         """
         latency_key = admitted.route.name if model is None else model
@@ -331,7 +332,7 @@
         if endpoint is not None and not head.is_wrong_incarnation:
             self.directory.note_answer(endpoint, now_s)
         load = head.signals.load
-        if load is not None and endpoint is not None:  # None: the lifetime has ended
+        if load is not None and endpoint is not None:  # endpoint is None if the lifetime has ended
             self.placement.update_reported_load(placed_call.lifetime, load, now_s)
         if head.is_success:
             self.placement.note_reply_started(placed_call, now_s)
--- a/umberhitch/tasks/direct/gateway_limits.py
+++ b/umberhitch/tasks/direct/gateway_limits.py
@@ -60,8 +60,8 @@
         default_factory=lambda: FeedTiming(wait_s=0.0, pause_s=0.95, timeouts_s=(0.5, 0.35, 1.0))
     )
     """Polling of the endpoint registry. Heartbeats arrive all the time, so the store does not hold
-    these calls. A lost call must not cost more than the rest of the 2 s within which a draining
-    endpoint has to be known."""
+    these calls. A lost call must not cost more than what remains of the 2 s within which a draining
+    endpoint must be known."""
     budget: RetryBudgetLimits = RetryBudgetLimits()
     cascade: CascadeLimits = CascadeLimits()
     cold: ColdLimits = ColdLimits()
--- a/umberhitch/tasks/direct/intake.py
+++ b/umberhitch/tasks/direct/intake.py
@@ -111,10 +111,10 @@
             self.send_reply(reply, req.call_id, admitted.status, admitted.reason, retry_after_s)
             return do_nothing
         if self.crash_guard.is_held(admitted):
-            return self._ask_probe(admitted, reply)
+            return self._request_probe(admitted, reply)
         return self.start_request(admitted, reply, False)
 
-    def _ask_probe(self, admitted: AdmittedRequest, reply: CallerReply) -> OnCallerLeft:
+    def _request_probe(self, admitted: AdmittedRequest, reply: CallerReply) -> OnCallerLeft:
         """Run a held request as a probe if that is allowed, otherwise refuse it."""
         req = admitted.request
         on_caller_left = do_nothing
--- a/umberhitch/tasks/direct/membership.py
+++ b/umberhitch/tasks/direct/membership.py
@@ -52,8 +52,11 @@
 
     @property
     def propagation_s(self) -> float:
-        """Time within which every router that renews its membership learns of a new one: it is no
-        longer than this between two joins, and each is followed by an update of the list."""
+        """Seconds within which every router that renews its membership learns of a new router.
+
+        Two renewals of a router are at most ``1.2 * ttl_s / 3`` apart, and each is followed by an
+        update of its list.
+        """
         return 1.2 * self.ttl_s / 3 + self.hold_s + self.timeout_s
 
 
@@ -62,7 +65,7 @@
 
     Parameters
     ----------
-    me : Member
+    own_member : Member
     clock : Clock
     rng : Random
     port : MembersPort
@@ -74,7 +77,7 @@
 
     def __init__(
         self,
-        me: Member,
+        own_member: Member,
         clock: Clock,
         rng: Random,
         port: MembersPort,
@@ -82,7 +85,7 @@
         on_members: Callable[[list[Member]], None],
         limits: MembershipLimits | None = None,
     ) -> None:
-        self._me = me
+        self._own_member = own_member
         self._clock = clock
         self._rng = rng
         self._port = port
@@ -111,7 +114,7 @@
     def stop(self) -> None:
         """Leave the group."""
         self._is_stopped = True
-        left = ensureDeferred(self._port.leave(self._me))
+        left = ensureDeferred(self._port.leave(self._own_member))
         left.addErrback(
             lambda failure: log.info("leaving the group failed", extra={"error": str(failure)})
         )
@@ -120,7 +123,7 @@
         """Whether this router is a member and the others had time to learn of it.
 
         Otherwise the others may use a list without this router, and divide among themselves the
-        share of a limit that it takes for its own.
+        share of a limit that this router uses.
         """
         now_s = self._clock.seconds()
         if self._joined_s is None or now_s >= self._lease_expires_s:
@@ -139,7 +142,7 @@
         while not self._is_stopped:
             try:
                 called_s = self._clock.seconds()
-                generation = await self._port.join(self._me, self._limits.ttl_s)
+                generation = await self._port.join(self._own_member, self._limits.ttl_s)
                 self._note_lease(called_s)
                 if not self._is_stopped:
                     await self._update_list(generation)
@@ -218,7 +221,7 @@
     def _answer(self, sender: str, request: ViewRequest) -> None:
         reply = ViewReply(request.request_id, request.incarnation, False)
         if request.offset <= self._generation:
-            members = [(each.name, each.address) for each in self._members]
+            members = [(member.name, member.address) for member in self._members]
             reply = ViewReply(
                 request.request_id, request.incarnation, True, self._generation, members=members
             )
--- a/umberhitch/tasks/direct/peers.py
+++ b/umberhitch/tasks/direct/peers.py
@@ -46,8 +46,9 @@
 UPDATE_DELAY_S = 0.03
 """Delay in which updates are collected into one message: sessions that other routers would send to
 the other version, and states of roll-outs that were written to the store. With 28 peers, a report
-is sent every 0.9 s. Where the next request of a session reached another router earlier, it went to
-the other version: 4 requests in a day, and 10 of 200 within 0.1 s of an order."""
+is sent every 0.9 s. With reports alone, a request that reached another router before the report
+about its session went to the other version: 4 requests in a day, and 10 of 200 within 0.1 s of an
+order."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +87,7 @@
 
     Parameters
     ----------
-    me : Member
+    own_member : Member
     incarnation : int
     gateway : Gateway
     clock : Clock
@@ -99,7 +100,7 @@
 
     def __init__(
         self,
-        me: Member,
+        own_member: Member,
         incarnation: int,
         gateway: Gateway,
         clock: Clock,
@@ -109,7 +110,7 @@
         sharing: ReadSharing,
         limits: DirectPeersLimits | None = None,
     ) -> None:
-        self._me = me
+        self._own_member = own_member
         self._incarnation = incarnation
         self._gateway = gateway
         self._clock = clock
@@ -118,13 +119,13 @@
         self._sharing = sharing
         self._limits = limits or DirectPeersLimits()
         self._membership = Membership(
-            me, clock, rng, members, sharing, self._apply_members, self._limits.membership
+            own_member, clock, rng, members, sharing, self._apply_members, self._limits.membership
         )
         self._received: dict[str, _ReceivedReport] = {}
         self._last_reports: dict[str, _ReceivedReport] = {}
         """The last reports of peers that have drained."""
         self._peers: dict[str, str] = {}
-        self._link_mbps = {me.name: gateway.settings.link_mbps}
+        self._link_mbps = {own_member.name: gateway.settings.link_mbps}
         self._seq = 0
         self._rounds = 0
         self._is_listed = False
@@ -155,15 +156,19 @@
         self._membership.stop()
 
     def _apply_members(self, members: list[Member]) -> None:
-        found = {each.name: each.address for each in members if each.name != self._me.name}
-        for name in [each for each in self._peers if each not in found]:
+        found = {
+            member.name: member.address
+            for member in members
+            if member.name != self._own_member.name
+        }
+        for name in [name for name in self._peers if name not in found]:
             self._link.disconnect(name)
             self._link_mbps.pop(name, None)
         for name, address in found.items():
             self._link.connect(name, address)
         joined = found.keys() - self._peers.keys()
         self._peers = found
-        self._gateway.gate.shares.set_routers([self._me.name, *found])
+        self._gateway.gate.shares.set_routers([self._own_member.name, *found])
         if joined:
             self._send_full_state(joined)
         self._is_listed = True
@@ -173,9 +178,9 @@
     def _send_full_state(self, names: Iterable[str]) -> None:
         """Send the full state to new peers at once.
 
-        Peers choose readers by the reported bandwidths of links; until it has the reports, each
-        router reads for itself. When 80 routers started together, this made 25 reads a second, 7
-        with the reports.
+        Routers choose readers by the reported bandwidths of links; until it has the reports, each
+        router reads the store itself. When 80 routers started together, this caused 25 reads a
+        second, compared with 7 if the state is sent at once.
         """
         messages: list[Message] = [
             self._make_report(),
@@ -189,11 +194,11 @@
     def _make_report(self) -> PeerReport:
         self._seq += 1
         uses = [
-            EndpointUse(endpoint, running, round(reading_s, 4), rank)
-            for endpoint, (running, reading_s, rank) in self._gateway.placement.own_load().items()
+            EndpointUse(endpoint, running, round(prefill_s, 4), rank)
+            for endpoint, (running, prefill_s, rank) in self._gateway.placement.own_load().items()
         ]
         return PeerReport(
-            self._me.name,
+            self._own_member.name,
             self._incarnation,
             self._seq,
             uses,
@@ -293,7 +298,7 @@
         """
         if not self._is_listed:
             return None
-        own = xxh3_64_intdigest(self._me.name.encode())
+        own = xxh3_64_intdigest(self._own_member.name.encode())
         return sum(xxh3_64_intdigest(name.encode()) < own for name in self._peers)
 
     def peer_available_in_s(self) -> float:
@@ -303,15 +308,17 @@
         """
         now_s = self._clock.seconds()
         available_s = {
-            n: each.received_s + each.report.retry_after_s for n, each in self._last_reports.items()
+            n: last.received_s + last.report.retry_after_s for n, last in self._last_reports.items()
         }
         self._last_reports = {
-            n: each for n, each in self._last_reports.items() if available_s[n] > now_s
+            n: last for n, last in self._last_reports.items() if available_s[n] > now_s
         }
-        received = [each.received_s + each.report.retry_after_s for each in self._received.values()]
+        received = [
+            entry.received_s + entry.report.retry_after_s for entry in self._received.values()
+        ]
         waits = [
-            max(0.0, each - now_s)
-            for each in (*received, *(available_s[n] for n in self._last_reports))
+            max(0.0, at_s - now_s)
+            for at_s in (*received, *(available_s[n] for n in self._last_reports))
         ]
         return min(waits, default=0.0)
 
@@ -319,11 +326,11 @@
         """Return the number of calls running on a service's endpoints of other versions."""
         gateway = self._gateway
         old = {
-            each.lifetime
-            for each in gateway.directory.of_service(service)
-            if each.entry.version != version
+            endpoint.lifetime
+            for endpoint in gateway.directory.of_service(service)
+            if endpoint.entry.version != version
         }
-        own = sum(gateway.placement.running_calls(each) for each in old)
+        own = sum(gateway.placement.running_calls(lifetime) for lifetime in old)
         others = sum(
             use.running
             for report in self.live_reports()
--- a/umberhitch/tasks/direct/presence.py
+++ b/umberhitch/tasks/direct/presence.py
@@ -62,7 +62,7 @@
         return self._is_loaded() and not self.is_draining
 
     def drain(self, on_noticed: Callable[[], None], on_idle: Callable[[], None]) -> None:
-        """Start the drain; see `Gateway.leave`."""
+        """Start the drain; see `Gateway.drain`."""
         self.is_draining = True
         self._drain_deadline_s = self._clock.seconds() + self._drain_s
         self._on_idle = on_idle
--- a/umberhitch/tasks/direct/read_sharing.py
+++ b/umberhitch/tasks/direct/read_sharing.py
@@ -2,11 +2,12 @@
 
 Each call to the store has a cost, and most would bring every router the same records. One router of
 each `READER_GROUP`, chosen by the bandwidth of its link, reads, and the others request the changes
-from it. Like the store, it holds a request until there is a change. Its answer rests on its own
-reads and includes their age. So it proves to the requesting router, by that router's own clock, up
-to which time its view was the newest, whatever was frozen or late in between. A request that is not
-answered in time, or from a view that is too old, goes to the next reader and then to the store, so
-that a failed reader costs one short wait. `tasks/direct/shared_view` reads and serves the streams.
+from it. Like the store, it holds a request until there is a change. Its reply states the age of its
+view. From that age and its own clock, the requesting router derives a time up to which its own view
+is proved to be the newest, even if a process was frozen or a message was late in between. A request
+that is not answered in time, or from a view that is too old, goes to the next reader and then to
+the store, so that a failed reader costs one short wait. `tasks/direct/shared_view` reads and serves
+the streams.
 """
 
 from collections.abc import Callable
--- a/umberhitch/tasks/direct/relay.py
+++ b/umberhitch/tasks/direct/relay.py
@@ -39,7 +39,7 @@
         self._reply = reply
         self._pause = pause
         self._resume = resume
-        self._event_cutter = EventSplitter(last_event)
+        self._event_splitter = EventSplitter(last_event)
         self._buffered = bytearray()
         self._is_passing_through = False
 
@@ -51,17 +51,17 @@
     @property
     def is_at_event_boundary(self) -> bool:
         """Whether no partial event is buffered."""
-        return self._event_cutter.is_at_boundary
+        return self._event_splitter.is_at_boundary
 
     @property
     def last_event(self) -> bytes | None:
         """Id of the last event that was passed to the caller."""
-        return self._event_cutter.last_id
+        return self._event_splitter.last_id
 
     @property
     def event_count(self) -> int:
         """Number of complete events so far."""
-        return self._event_cutter.count
+        return self._event_splitter.count
 
     def start_call(self) -> None:
         """Discard what is buffered of the reply to an earlier call."""
@@ -69,7 +69,7 @@
 
     def drop_partial_event(self) -> None:
         """Discard the partial event that is buffered, since its call has failed."""
-        self._event_cutter.discard_partial()
+        self._event_splitter.discard_partial()
 
     def start_stream(self, head: ReplyHead) -> None:
         """Start a stream with the head that its first endpoint sent."""
@@ -88,7 +88,7 @@
         ValueError
             If an event exceeds the size limit.
         """
-        events = self._event_cutter.feed(data)
+        events = self._event_splitter.feed(data)
         if events:
             self._reply.data(events)
         return bool(events)
--- a/umberhitch/tasks/direct/send_gate.py
+++ b/umberhitch/tasks/direct/send_gate.py
@@ -1,9 +1,10 @@
 """Rate limits, back-off and draining of endpoints, which every call to an endpoint has to pass.
 
-First attempts, retries, resumed streams, calls of a larger model, canaries and probes all ask here
-which endpoints may get one more call, in the same reactor turn in which they are sent. Two rate
-limits over all routers together are kept: that of a cold endpoint, and that of an endpoint which
-names a limit. `core/direct/_fleet_share` describes how the routers share them.
+For every call, be it a first attempt, a retry, a resumed stream, a call of a larger model, a canary
+or a probe, this module decides which endpoints may get one more call, in the same reactor turn in
+which the call is sent. It keeps two rate limits, which apply to all routers together: that of a
+cold endpoint, and that of an endpoint which advertises a limit. `core/direct/_fleet_share`
+describes how the routers share them.
 """
 
 from collections.abc import Callable, Iterable
@@ -146,9 +147,10 @@
         self.refresh_shares()
         reserved = 0 if service is None else self._reserved_calls(service.name, urgency, now_s)
         allowed = [
-            each
-            for each in endpoints
-            if self._cold_ok(each, cold_rate, now_s) and self._limit_ok(each, reserved, now_s)
+            endpoint
+            for endpoint in endpoints
+            if self._cold_ok(endpoint, cold_rate, now_s)
+            and self._limit_ok(endpoint, reserved, now_s)
         ]
         if endpoints and not allowed and service is not None:
             self._record_refused(service.name, urgency, now_s)
@@ -223,14 +225,14 @@
         """
         now_s = self._clock.seconds()
         rates, waits_s = [], []
-        for each in endpoints:
-            wait_s = self.closed.wait_s(each.lifetime, now_s)
-            limit = self.limits.get(each.lifetime)
+        for endpoint in endpoints:
+            wait_s = self.closed.wait_s(endpoint.lifetime, now_s)
+            limit = self.limits.get(endpoint.lifetime)
             if wait_s == 0.0 and limit is None:
                 return min_retry_s
             if wait_s == 0.0 and limit is not None:
                 rates.append(self.rules.bound(limit.rate).rate)
-                wait_s = self._limit_wait_s(each.lifetime, limit, 0, now_s)
+                wait_s = self._limit_wait_s(endpoint.lifetime, limit, 0, now_s)
             waits_s.append(wait_s)
         first_s = min(waits_s)
         if rates:
@@ -290,7 +292,7 @@
         limit = head.signals.limit
         rate = limit.per_second
         if limit.is_malformed or (rate is None and (head.not_run or not len(self.limits))):
-            return  # only an answer without a limit ends it; a refusal may omit the limit
+            return  # a refusal may omit the limit; only an answer without one ends it
         change = self.limits.apply_answer(lifetime, rate, now_s)
         if change is not LimitChange.NONE:
             self._on_limit_change(lifetime, change, OWN_REPLY)
--- a/umberhitch/tasks/direct/services.py
+++ b/umberhitch/tasks/direct/services.py
@@ -74,7 +74,7 @@
     wants_target: bool | None
     """Whether the request goes to the new version of a roll-out; None without a roll-out."""
     request_key: str = ""
-    """Identifies the request when a caller retries it, see `request_key`."""
+    """Identifies the request when a caller retries it; see `core.direct.request_key`."""
 
 
 @dataclass(slots=True)
--- a/umberhitch/tasks/direct/shared_view.py
+++ b/umberhitch/tasks/direct/shared_view.py
@@ -302,7 +302,7 @@
         return FeedBatch(records, max(offset, reply.end), proved_s, 0.0, reply.is_after_outage)
 
     async def _since_from_store(
-        self, offset: int, wait_s: float, patience_s: float
+        self, offset: int, wait_s: float, timeout_s: float
     ) -> FeedBatch[Value]:
         pause_s = None
         if self._is_serving():
@@ -310,7 +310,7 @@
             pause_s = self._limits.read_pause_s
         called_s = self._clock.seconds()
         try:
-            batch = await self._port.since(offset, wait_s, patience_s, self._on_read_started)
+            batch = await self._port.since(offset, wait_s, timeout_s, self._on_read_started)
         except (LogTrimmedError, LogReplacedError):
             raise  # the store is reachable, and requires a read of the newest records
         except LogError:
@@ -360,22 +360,26 @@
 
     # Answers to peers
 
-    def _record_batch(self, batch: FeedBatch[Value], is_snapshot: bool, was_away: bool) -> None:
+    def _record_batch(
+        self, batch: FeedBatch[Value], is_snapshot: bool, is_after_outage: bool
+    ) -> None:
         """Record a batch that the feed has applied, and answer the peers that wait for it."""
         if is_snapshot:
             self._log.reset(batch)
-        self._record_changes(batch, is_snapshot, was_away)
+        self._record_changes(batch, is_snapshot, is_after_outage)
         has_recovered, self._has_recovered = self._has_recovered, False
         self._answer_held(has_recovered)
 
-    def _record_changes(self, batch: FeedBatch[Value], is_snapshot: bool, was_away: bool) -> None:
+    def _record_changes(
+        self, batch: FeedBatch[Value], is_snapshot: bool, is_after_outage: bool
+    ) -> None:
         max_bytes = self._sharing.max_change_bytes()
-        self._log.append(batch, is_snapshot, was_away, self._is_serving(), max_bytes)
+        self._log.append(batch, is_snapshot, is_after_outage, self._is_serving(), max_bytes)
 
     def _answer_held(self, has_recovered: bool = False) -> None:
         """Answer the held requests for which there are changes, or all of them."""
         for held in [
-            each for each in self._held if has_recovered or self._has_changes(each.request)
+            pending for pending in self._held if has_recovered or self._has_changes(pending.request)
         ]:
             if held.timer.active():  # otherwise the hold expires in this turn of the reactor
                 held.timer.cancel()
--- a/umberhitch/tasks/direct/signal_table.py
+++ b/umberhitch/tasks/direct/signal_table.py
@@ -25,7 +25,7 @@
         How this router learned of the signal.
     age_s : float or None
         Seconds since the signal was last received, if that is known.
-    left_s : float or None
+    remaining_s : float or None
         Seconds until the signal expires, if it expires by itself.
     details : dict of str to float
         Further values, which depend on the kind.
@@ -78,6 +78,8 @@
 
 
 def _cold(directory: Directory, now_s: float) -> Iterator[ActiveSignal]:
-    for each in directory.cold_endpoints(now_s):
-        remaining_s = max(each.cold_until_s, each.presumed_cold_until_s) - now_s
-        yield ActiveSignal(each.lifetime, SignalKind.COLD, each.cold_source, None, remaining_s)
+    for endpoint in directory.cold_endpoints(now_s):
+        remaining_s = max(endpoint.cold_until_s, endpoint.presumed_cold_until_s) - now_s
+        yield ActiveSignal(
+            endpoint.lifetime, SignalKind.COLD, endpoint.cold_source, None, remaining_s
+        )
--- a/umberhitch/tasks/direct/startup_wait.py
+++ b/umberhitch/tasks/direct/startup_wait.py
@@ -10,7 +10,7 @@
 """Maximum delay. The store answers within a few ms, so nearly all callers who connect during a
 start are served. If the store is unreachable, they are soon told when to retry."""
 POLL_INTERVAL_S = 0.005
-"""Interval at which it is checked whether the router is loaded."""
+"""Interval in seconds between checks whether the router is loaded."""
 
 
 def accept_when_loaded(
--- a/umberhitch/tasks/direct/store_view.py
+++ b/umberhitch/tasks/direct/store_view.py
@@ -106,7 +106,7 @@
             return
         ended = self.directory.sweep(self.clock.seconds())
         if ended:
-            self._on_endpoints_changed([each.entry.address for each in ended])
+            self._on_endpoints_changed([endpoint.entry.address for endpoint in ended])
         self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     @property
@@ -142,14 +142,14 @@
 
     def _apply_order_snapshot(self, batch: FeedBatch[OperatorValue]) -> None:
         self._apply_orders(batch, False)
-        present = {each.key for each in batch.records if each.value is not None}
+        present = {record.key for record in batch.records if record.value is not None}
         for key in self._zones_out.keys() - present:
             self._restore_zone(key)
         self.canary_controller.retain(
             [r.value for r in batch.records if isinstance(r.value, RolloutOrder)]
         )
 
-    def _apply_orders(self, batch: FeedBatch[OperatorValue], was_away: bool) -> None:
+    def _apply_orders(self, batch: FeedBatch[OperatorValue], is_after_outage: bool) -> None:
         for record in batch.records:
             match record.value:
                 case Document():
@@ -191,7 +191,7 @@
         self._apply_endpoints(batch, True)
         self.directory.is_loaded = True
 
-    def _apply_endpoints(self, batch: FeedBatch[EndpointEntry], was_away: bool) -> None:
+    def _apply_endpoints(self, batch: FeedBatch[EndpointEntry], is_after_outage: bool) -> None:
         removed: list[str] = []
         now_s = self.clock.seconds()
         for record in batch.records:
@@ -202,7 +202,7 @@
                     log.info("endpoint started again", extra={"endpoint": ended.lifetime})
                     removed.append(ended.entry.address)
                     self._on_restarted(ended)
-            elif was_away:
+            elif is_after_outage:
                 self.directory.lapse(record.key, now_s, self.registry_feed.proved_s)
             elif known is not None:
                 removed.append(known.entry.address)
--- a/umberhitch/tasks/direct/stored_holds.py
+++ b/umberhitch/tasks/direct/stored_holds.py
@@ -25,7 +25,8 @@
 READERS = 2
 """Number of routers that read the records at start, in the order of the digests of their names."""
 STARTUP_DELAY_S = 1.0
-"""Routers that start together know each other after this time, and so which of them read."""
+"""Delay of the read at start. By then, routers that start together know each other, and thus which
+of them read."""
 RETRY_S = 2.0
 """Pause after a failed call to the store, which may be unavailable for seconds."""
 MAX_PENDING_WRITES = 64
@@ -122,7 +123,7 @@
         if not record.is_held(key):
             return None
         probed = record.last_probe(key)
-        lifetimes = tuple(each.lifetime for each in crashes[: record.limits.crashes])
+        lifetimes = tuple(crash.lifetime for crash in crashes[: record.limits.crashes])
         return StoredHold(
             key, crashes[0].service_version, lifetimes, 0 if probed is None else probed[1]
         )
--- a/umberhitch/tasks/direct/stored_states.py
+++ b/umberhitch/tasks/direct/stored_states.py
@@ -27,8 +27,8 @@
 RANK_DELAY_S = 0.2
 """Additional delay per rank before a router reads the state from the store and writes it. A router
 that has written it sends it to the others within 0.05 s, so that one of 68 routers calls the store
-rather than all. If the store refuses a third of the routers, the fifth router in rank writes after
-at most 0.8 s in 99 of 100 cases."""
+rather than all. If the store refuses a third of the routers, one of the first five in rank has
+written after 0.8 s in 99 of 100 cases."""
 MAX_RANK_WAIT_S = 1.0
 """A router that has no list of the others after this time proceeds without it."""
 FINAL_STATES = (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
--- a/umberhitch/tasks/direct/tests/test_advertised_limits.py
+++ b/umberhitch/tasks/direct/tests/test_advertised_limits.py
@@ -159,8 +159,8 @@
     world, _ = _one_router(Reply(is_silent=True))
     world.ask(world.routers["r000"], "/order/x")
     world.run(0.02)
-    (exchange,) = world.routers["r000"].gateway.running_requests
-    exchange.on_late_head(ReplyHead(200, signals=HeadSignals(limit=Rate(3.0))))
+    (proxied_request,) = world.routers["r000"].gateway.running_requests
+    proxied_request.on_late_head(ReplyHead(200, signals=HeadSignals(limit=Rate(3.0))))
     assert _known(world) == {"l0": 3.0}
 
 
--- a/umberhitch/tasks/direct/tests/test_draining_and_backoff.py
+++ b/umberhitch/tasks/direct/tests/test_draining_and_backoff.py
@@ -295,15 +295,15 @@
 def test_the_affinity_endpoint_of_a_prompt_changes_at_every_router():
     world, _ = _world(4, 0, 3)
     router = world.routers["r000"].gateway
-    home = router.directory.affinity_endpoint("svc", "part")
-    _drain(world.endpoints.by_address[home.entry.address])
+    affinity_endpoint = router.directory.affinity_endpoint("svc", "part")
+    _drain(world.endpoints.by_address[affinity_endpoint.entry.address])
     _crowd(world, 1.0)
     moved = {
         r.gateway.directory.affinity_endpoint("svc", "part").lifetime
         for r in world.routers.values()
     }
     assert len(moved) == 1
-    assert home.lifetime not in moved
+    assert affinity_endpoint.lifetime not in moved
 
 
 def test_requests_are_not_blamed_when_a_draining_endpoint_exits():
--- a/umberhitch/tasks/direct/tests/test_proxied_request.py
+++ b/umberhitch/tasks/direct/tests/test_proxied_request.py
@@ -54,7 +54,7 @@
     order = world.ask(router, "/order/x")
     world.run(0.2)
     assert order.status == 502
-    assert sum(len(each.calls) for each in endpoints) == 1
+    assert sum(len(endpoint.calls) for endpoint in endpoints) == 1
     look = world.ask(router, "/look/x")
     world.run(0.2)
     assert look.status == 200
@@ -87,7 +87,7 @@
     req = world.ask(router, "/order/x")
     world.run(1.0)
     assert req.status in (200, 503)
-    assert sum(each.ran.count(req.call_id) for each in endpoints) <= 1
+    assert sum(endpoint.ran.count(req.call_id) for endpoint in endpoints) <= 1
     retried = world.ask(router, "/order/x")
     world.run(0.2)
     assert retried.status == 200
@@ -154,7 +154,7 @@
     req = world.ask(world.ready_router(), "/draft/x")
     world.run(3.0)
     assert req.reply.is_complete
-    expected = b"".join(b"id: %d\ndata: e%d\n\n" % (each, each) for each in range(1, 7))
+    expected = b"".join(b"id: %d\ndata: e%d\n\n" % (number, number) for number in range(1, 7))
     assert req.reply.body == expected
 
 
@@ -223,7 +223,7 @@
     for _ in range(50):
         world.ask(router, "/look/x")
         world.run(0.05)
-    calls = sum(len(each.calls) for each in endpoints)
+    calls = sum(len(endpoint.calls) for endpoint in endpoints)
     assert calls <= 50 + 0.9 * 50 + 4.0
 
 
@@ -255,8 +255,8 @@
     slow, quick = world.ask(router, "/draft/x"), world.ask(router, "/draft/x")
     world.run(0.2)
     slow.reply.pause()
-    held = [call.is_paused for call in world.endpoints.running]
-    assert held == [True, False]
+    paused = [call.is_paused for call in world.endpoints.running]
+    assert paused == [True, False]
     slow.reply.resume()
     world.run(4.0)
     assert quick.reply.is_complete
--- a/umberhitch/tasks/direct/tests/test_store.py
+++ b/umberhitch/tasks/direct/tests/test_store.py
@@ -115,9 +115,9 @@
         requests = [world.ask(router, "/look/x") for _ in range(3)]
         cancelled = world.ask(router, "/look/x")
         cancelled.leave()
-        assert [each.status for each in requests] == [None] * 3
+        assert [req.status for req in requests] == [None] * 3
         world.run(0.1)
-        assert [each.status for each in requests] == [200] * 3
+        assert [req.status for req in requests] == [200] * 3
         assert cancelled.status is None
 
 
@@ -259,14 +259,14 @@
     world.run(3.0)
     _drain(world, "r1")
     world.run(3.0)
-    other_takes = world.ask(world.routers["r1"], "/draft/x")
-    assert other_takes.reply.headers.get(b"Come-Back") == b"0.100"
+    while_other_accepts = world.ask(world.routers["r1"], "/draft/x")
+    assert while_other_accepts.reply.headers.get(b"Come-Back") == b"0.100"
     _drain(world, "r2")
     world.run(3.0)
-    none_takes = world.ask(world.routers["r2"], "/draft/x")
-    assert none_takes.status == 503
+    while_none_accepts = world.ask(world.routers["r2"], "/draft/x")
+    assert while_none_accepts.status == 503
     # r1 began to drain 6 s ago, may take 8 s to drain, and 0.7 s to start.
-    assert 2.4 <= float(none_takes.reply.headers[b"Come-Back"]) <= 2.8
+    assert 2.4 <= float(while_none_accepts.reply.headers[b"Come-Back"]) <= 2.8
 
 
 def test_a_router_that_has_just_started_is_not_available_before_the_balancer_checks():
@@ -307,10 +307,10 @@
     world = DirectWorld()
     router = world.ready_router()
     view = router.gateway.view
-    taken = view.operator_feed.on_applied
+    original = view.operator_feed.on_applied
 
     def fail_once(*args: object) -> None:
-        view.operator_feed.on_applied = taken
+        view.operator_feed.on_applied = original
         raise ValueError("a bug")
 
     view.operator_feed.on_applied = fail_once
@@ -328,8 +328,8 @@
     router = world.add_router()
     router.faults.is_down = True
     world.run(3.0)
-    long, short = (world.ask(router, "/look/x", Patience=each) for each in ("12", "0.9"))
-    assert [each.status for each in (long, short)] == [503, 503]
+    long, short = (world.ask(router, "/look/x", Patience=patience) for patience in ("12", "0.9"))
+    assert [req.status for req in (long, short)] == [503, 503]
     assert long.reply.headers[b"Come-Back"] == b"4.000"
     assert short.reply.headers[b"Come-Back"] == b"0.500"
 
--- a/umberhitch/tasks/evidence.py
+++ b/umberhitch/tasks/evidence.py
@@ -74,7 +74,7 @@
         self._rng = rng
         self._ratings = ratings
         self._sample_share = sample_share
-        self._book = EvidenceBuffer()
+        self._buffer = EvidenceBuffer()
         self._in_flight = 0
         self.judge = VersionJudge(limits)
         self.alarms: list[Alarm] = []
@@ -92,7 +92,7 @@
         if not isinstance(work, EngineWork) or not _is_evidence(outcome):
             return
         is_done = isinstance(outcome, Done)
-        self._book.record_attempt(target, klass, is_done, latency_s)
+        self._buffer.record_attempt(target, klass, is_done, latency_s)
         if isinstance(outcome, Done) and self._ratings is not None:
             is_sampled = self._sample_share >= 1.0 or self._rng.random() < self._sample_share
             if is_sampled and self._in_flight < MAX_RATINGS_IN_FLIGHT:
@@ -111,12 +111,12 @@
         finally:
             self._in_flight -= 1
         if rating is not None:
-            self._book.record_rating(target, klass, rating)
+            self._buffer.record_rating(target, klass, rating)
 
     def send_evidence(self) -> None:
         """Send the collected evidence to the judges of each version; called once per second."""
         own = self._router.settings.name
-        for evidence in self._book.flush():
+        for evidence in self._buffer.flush():
             for judge in self._recipients(evidence.version):
                 if judge == own:
                     self.handle_evidence(evidence)
@@ -171,11 +171,11 @@
         first takes effect.
         """
         feed = self._router.feed
-        seen = feed.fold.revisions.get(f"versions/{alarm.version}", 0)
+        revision = feed.fold.revisions.get(f"versions/{alarm.version}", 0)
         change = Change(
-            f"quarantine-{alarm.version}-{seen}",
+            f"quarantine-{alarm.version}-{revision}",
             f"router {self._router.settings.name}",
-            [SetState(alarm.version, VersionState.QUARANTINED, if_revision=seen)],
+            [SetState(alarm.version, VersionState.QUARANTINED, if_revision=revision)],
             f"{alarm.signal.value} of class {alarm.klass}",
         )
         log.warning(
@@ -185,7 +185,7 @@
                 "signal": alarm.signal.value,
                 "klass": alarm.klass,
                 "observations": alarm.observations,
-                "revision": seen,
+                "revision": revision,
             },
         )
         self.alarms.append(alarm)
--- a/umberhitch/tasks/peers.py
+++ b/umberhitch/tasks/peers.py
@@ -9,8 +9,8 @@
 __all__ = ["Peers", "PeersLimits"]
 
 MAX_MISSED_ROUNDS = 3
-"""Gossip rounds without a digest after which a peer is presumed lost. In one round, a router
-receives one digest from each peer on average."""
+"""Gossip rounds without a digest after which a peer is presumed lost. A round is the time in which
+a router receives one digest from each peer on average."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/umberhitch/tasks/request_state.py
+++ b/umberhitch/tasks/request_state.py
@@ -106,8 +106,8 @@
     last_unknown : Unknown or None
         Outcome of the last attempt that may have run.
     last_refusal : NotRun or None
-        Outcome of the last refused attempt; returned if no endpoint is left, because it is more
-        specific.
+        Outcome of the last refused attempt; returned if no endpoint is left, because it says more
+        than that there is none.
     """
 
     request: CallerRequest
--- a/umberhitch/tasks/rollouts.py
+++ b/umberhitch/tasks/rollouts.py
@@ -98,12 +98,12 @@
             raise RolloutError(f"there is no roll-out of {version}")
         else:
             plan = _apply_command(plan, action, self._wall_s())
-        seen = feed.fold.revisions.get(f"rollouts/{version}", 0)
-        ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(plan), seen)]
+        revision = feed.fold.revisions.get(f"rollouts/{version}", 0)
+        ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(plan), revision)]
         old = feed.config.versions.get(plan.previous)
         if action == "roll back" and old is not None and is_restorable(old):
             ops.append(self._put_version(restored_version(old)))
-        change = Change(f"rollout-{version}-{action}-{seen}", "operator", ops)
+        change = Change(f"rollout-{version}-{action}-{revision}", "operator", ops)
         return self._router.submit_change(change)
 
     def _new_plan(self, version: str, previous: str | None) -> Rollout:
@@ -141,8 +141,8 @@
         Without the condition, a step that was decided just before a withdrawal would undo the
         withdrawal.
         """
-        seen = self._router.feed.fold.revisions.get(f"versions/{ver.key}", 0)
-        return Put(Kind.VERSION, to_builtins(ver), seen)
+        revision = self._router.feed.fold.revisions.get(f"versions/{ver.key}", 0)
+        return Put(Kind.VERSION, to_builtins(ver), revision)
 
     # Steps of the driving router
 
@@ -202,12 +202,12 @@
     def _submit_step(self, plan: Rollout, update: UpdatePlan) -> None:
         """Submit a step as a change that is conditional on the plan's revision."""
         feed = self._router.feed
-        seen = feed.fold.revisions.get(f"rollouts/{plan.version}", 0)
-        ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(update.plan), seen)]
+        revision = feed.fold.revisions.get(f"rollouts/{plan.version}", 0)
+        ops: list[Any] = [Put(Kind.ROLLOUT, to_builtins(update.plan), revision)]
         ops += [self._put_version(ver) for ver in update.versions]
         newest = max(op.if_revision or 0 for op in ops)
         step = f"{update.plan.state.value}-{update.plan.stage}"
-        change_id = f"rollout-{plan.version}-{step}-{seen}-{newest}"
+        change_id = f"rollout-{plan.version}-{step}-{revision}-{newest}"
         if self._pending_change_id == change_id:
             return
         self._pending_change_id = change_id
@@ -256,15 +256,15 @@
 
 def _apply_command(plan: Rollout, action: str, now_s: float) -> Rollout:
     """Return the plan after an operator's command; raise if its state does not permit it."""
-    life, cell = make_rollout_lifecycle(plan.state)
+    lifecycle, cell = make_rollout_lifecycle(plan.state)
     try:
         match action:
             case "hold":
-                life.hold()
+                lifecycle.hold()
             case "go on":
-                life.resume()
+                lifecycle.resume()
             case _:
-                life.roll_back()
+                lifecycle.roll_back()
     except NoTransition as exc:
         raise RolloutError(f"a roll-out that is {plan.state.value} cannot {action}") from exc
     since_s = now_s if action == "go on" else plan.stage_since_s
--- a/umberhitch/tasks/router.py
+++ b/umberhitch/tasks/router.py
@@ -167,8 +167,8 @@
             settings.follower,
         )
         self.rollouts = RolloutDriver(self, self.evidence, self.lease, clock, wall_s)
-        burn_host = BurnContext(settings.name, self.live_peers, self.send, self._objectives)
-        self.burn = BurnTask(burn_host, clock, wall_s)
+        burn_context = BurnContext(settings.name, self.live_peers, self.send, self._objectives)
+        self.burn = BurnTask(burn_context, clock, wall_s)
         self.requests = Requests(self, self.evidence, self.burn, clock, wall_s, rng)
         self.answer_fetcher = AnswerFetcher(self.attempts, self.fleet)
 
--- a/umberhitch/tasks/tests/test_serving.py
+++ b/umberhitch/tasks/tests/test_serving.py
@@ -6,7 +6,7 @@
 from umberhitch.config import VersionState
 from umberhitch.core.outcome import Done, NotRun, Reason, Unknown
 from umberhitch.fakes import NetworkFaults, expected_answer
-from umberhitch.tasks import idempotency as keyed_module
+from umberhitch.tasks import idempotency as idempotency_module
 from umberhitch.tasks.resume import parse_locator
 from umberhitch.testing import (
     SIGNING_SECRET,
@@ -192,7 +192,7 @@
 def test_an_answer_too_long_for_the_log_is_fetched_from_its_agent(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keyed_module, "MAX_RECORDED_CHARS", 10)
+    monkeypatch.setattr(idempotency_module, "MAX_RECORDED_CHARS", 10)
     options = AskOptions(klass="renewal", key="k")
     first = world.ask("renew", "r1", options)
     world.advance(2.0)
--- a/umberhitch/tasks/usage.py
+++ b/umberhitch/tasks/usage.py
@@ -41,7 +41,9 @@
 
     def overdue(self, now_s: float, timeout_s: float) -> list[UsageRecord]:
         """Return records that were not confirmed within ``timeout_s`` seconds."""
-        due = [each.record for each in self._records.values() if now_s - each.added_s >= timeout_s]
+        due = [
+            entry.record for entry in self._records.values() if now_s - entry.added_s >= timeout_s
+        ]
         return due[:MAX_OVERDUE_RECORDS]
 
     def next_router(self, routers: Iterable[str]) -> str | None:
--- a/umberhitch/tasks/usage_writer.py
+++ b/umberhitch/tasks/usage_writer.py
@@ -92,7 +92,7 @@
             self._link.send(agent, UsageConfirmation(requests))
 
     def when_idle(self, callback: Callable[[], None]) -> None:
-        """Call back once no record is queued."""
+        """Call a function once no record is queued."""
         if not self._unconfirmed:
             callback()
         else:
